--- a/internal/connection/gateway/answer.go
+++ b/internal/connection/gateway/answer.go
@@ -10,16 +10,17 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-const streamBuffer = 32 << 10
+const streamBufferSize = 32 << 10
 
-var buffers = sync.Pool{New: func() any { return new([streamBuffer]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// relay streams a backend server's answer and reports whether it was whole. One
-// that is cut on the way must be cut for the next reader too, never ended as if
-// it were whole: with false, the caller must abort the connection. A large one that
-// leaves over the link goes as departs allows; nil lets it go at once.
-func relay(ctx context.Context, w http.ResponseWriter, resp *http.Response, kept *capture, departs *departure) bool {
-	defer departs.end()
+// relay streams a backend server's response and reports whether it was complete. A
+// truncated response must also appear truncated to the next reader, never as if it were
+// complete: if relay returns false, its caller must abort the connection. A large
+// response that leaves over the link is sent as transfer allows; a nil transfer does not
+// delay it.
+func relay(ctx context.Context, w http.ResponseWriter, resp *http.Response, captured *bodyCapture, transfer *responseTransfer) bool {
+	defer transfer.finish()
 	defer func() { _ = resp.Body.Close() }()
 	header := w.Header()
 	copyHeader(header, resp.Header)
@@ -28,7 +29,7 @@
 		header.Add("Trailer", name)
 	}
 	w.WriteHeader(resp.StatusCode)
-	if err := stream(ctx, w, resp, kept, departs); err != nil {
+	if err := stream(ctx, w, resp, captured, transfer); err != nil {
 		return false
 	}
 	for name, values := range resp.Trailer {
@@ -37,28 +38,28 @@
 	return true
 }
 
-// buffered is an answer's body that knows whether more of it has arrived.
-type buffered interface{ Buffered() bool }
+// bufferedReader is a response body that knows whether more of it has arrived.
+type bufferedReader interface{ Buffered() bool }
 
-// stream copies the body and flushes when no more of it has arrived, so that a
-// slow answer is passed on as it comes. With kept, a caller that left does not
-// end it.
-func stream(ctx context.Context, w http.ResponseWriter, resp *http.Response, kept *capture, departs *departure) error {
-	buffer := buffers.Get().(*[streamBuffer]byte)
-	defer buffers.Put(buffer)
+// stream copies the body and flushes when no more of it has arrived, so that a slow
+// response is passed on as it arrives. If captured is set, the copy continues after the
+// caller has disconnected.
+func stream(ctx context.Context, w http.ResponseWriter, resp *http.Response, captured *bodyCapture, transfer *responseTransfer) error {
+	buffer := streamBuffers.Get().(*[streamBufferSize]byte)
+	defer streamBuffers.Put(buffer)
 	controller := http.NewResponseController(w)
-	arrived, _ := resp.Body.(buffered)
-	if resp.ContentLength != 0 && !hasMore(arrived) {
+	reader, _ := resp.Body.(bufferedReader)
+	if resp.ContentLength != 0 && !hasMore(reader) {
 		_ = controller.Flush()
 	}
 	for {
 		n, err := resp.Body.Read(buffer[:])
-		kept.add(buffer[:n])
-		if werr := departs.wait(ctx, n); werr != nil {
+		captured.add(buffer[:n])
+		if werr := transfer.waitToSend(ctx, n); werr != nil {
 			return werr
 		}
-		werr := departs.send(n, func() error { return write(w, controller, buffer[:n]) })
-		if werr != nil && kept == nil {
+		werr := transfer.sendPart(n, func() error { return write(w, controller, buffer[:n]) })
+		if werr != nil && captured == nil {
 			return werr
 		}
 		if err == io.EOF {
@@ -67,22 +68,22 @@
 		if err != nil {
 			return err
 		}
-		if !hasMore(arrived) {
+		if !hasMore(reader) {
 			_ = controller.Flush()
 		}
 	}
 }
 
-func hasMore(b buffered) bool { return b != nil && b.Buffered() }
+func hasMore(b bufferedReader) bool { return b != nil && b.Buffered() }
 
-// write bounds the wait for a caller that takes nothing, where it may have to
-// wait: a small answer fits into the connection's buffers.
+// write sends p with a deadline where the write may block on a caller that does not read:
+// a small part fits into the connection's buffers.
 func write(w http.ResponseWriter, controller *http.ResponseController, p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
-	if len(p) == streamBuffer {
-		_ = controller.SetWriteDeadline(time.Now().Add(stallMax))
+	if len(p) == streamBufferSize {
+		_ = controller.SetWriteDeadline(time.Now().Add(maxStall))
 	}
 	_, err := w.Write(p)
 	return err
--- a/internal/connection/gateway/backend.go
+++ b/internal/connection/gateway/backend.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// backendIdleTimeout is below the usual keep-alive of servers, and
-	// recentIdle well below: a request that may not be repeated takes no
-	// connection that the server may just be closing.
-	backendIdleTimeout = 4 * time.Second
-	recentIdle         = time.Second
+	// backendIdleTimeout is below the usual keep-alive timeout of servers, and
+	// nonRepeatableIdleAge well below it: a request that must not be sent twice does not
+	// use a connection that the server may be about to close.
+	backendIdleTimeout   = 4 * time.Second
+	nonRepeatableIdleAge = time.Second
 )
 
-// backend is one backend server beside this daemon.
+// backend is a backend server of this instance.
 type backend struct {
-	// server is its newest announcement; Gateway.mu guards it.
+	// server is the latest announcement, guarded by Gateway.mu.
 	server presence.Server
 	gate   *gate
 	pool   *upstream.Pool
-	// gone is set when it is no longer announced. The entry stays while
-	// requests run, so that its slots are counted on should it come back.
-	gone bool
-	// requests were handed to the server since this daemon began, repeats of them had come
-	// to a server before or follow from one that had.
-	requests, repeats atomic.Uint64
+	// removed is set when the server is no longer announced. The entry remains while
+	// requests run, so that their slots still count if the server returns.
+	removed bool
+	// requests counts the requests sent to the server since this daemon started. retries
+	// counts those that had been sent to a server before, or were made by a run that had.
+	requests, retries atomic.Uint64
 }
 
-// count notes that a request is handed to the server.
-func (b *backend) count(repeat float64) {
+// countRequest counts a request that is sent to the server.
+func (b *backend) countRequest(retryProbability float64) {
 	b.requests.Add(1)
-	if repeat >= 1 {
-		b.repeats.Add(1)
+	if retryProbability >= 1 {
+		b.retries.Add(1)
 	}
 }
 
-// SetServers tells of the backend servers beside this daemon.
+// SetServers replaces the backend servers of this instance.
 func (g *Gateway) SetServers(servers []presence.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	present := map[string]bool{}
+	announced := map[string]bool{}
 	for _, s := range servers {
-		present[s.Addr] = true
+		announced[s.Addr] = true
 		g.setServer(s)
 	}
 	for addr, b := range g.backends {
-		if present[addr] {
+		if announced[addr] {
 			continue
 		}
 		g.remove(addr, b)
@@ -62,21 +62,21 @@
 func (g *Gateway) setServer(s presence.Server) {
 	b := g.backends[s.Addr]
 	if b != nil && (b.server.Boot != s.Boot || b.server.Started != s.Started) {
-		// Another start of the server has nothing in common with the one before.
+		// A restarted server shares no state with its predecessor.
 		b.gate.Configure(admit.Config{}, true)
 		b.pool.Close()
 		b = nil
 	}
-	if b == nil || b.gone {
+	if b == nil || b.removed {
 		pool := g.newBackendPool(s.Addr)
 		if b == nil {
-			b = &backend{gate: newGate(g.bounds(s))}
+			b = &backend{gate: newGate(g.admissionConfig(s))}
 			g.backends[s.Addr] = b
 		}
-		b.pool, b.gone = pool, false
+		b.pool, b.removed = pool, false
 	}
 	b.server = s
-	g.apply(b)
+	g.applyLimits(b)
 }
 
 func (g *Gateway) newBackendPool(addr string) *upstream.Pool {
@@ -86,8 +86,8 @@
 }
 
 func (g *Gateway) remove(addr string, b *backend) {
-	if !b.gone {
-		b.gone = true
+	if !b.removed {
+		b.removed = true
 		b.gate.Configure(admit.Config{}, true)
 		b.pool.Close()
 	}
@@ -96,21 +96,21 @@
 	}
 }
 
-// apply brings the bounds of the announcement and of the manifest into force.
-func (g *Gateway) apply(b *backend) {
-	b.pool.SetMax(g.connections(b.server))
-	b.gate.Configure(g.bounds(b.server), b.server.State == presence.Draining)
+// applyLimits applies the limits of the announcement and of the manifest.
+func (g *Gateway) applyLimits(b *backend) {
+	b.pool.SetMax(g.maxConnections(b.server))
+	b.gate.Configure(g.admissionConfig(b.server), b.server.State == presence.Draining)
 }
 
-// bounds are the smaller of what is announced and what the manifest allows.
-// Each request takes one connection.
-func (g *Gateway) bounds(s presence.Server) admit.Config {
+// admissionConfig returns the smaller of the announced limits and those of the manifest.
+// Each request uses one connection.
+func (g *Gateway) admissionConfig(s presence.Server) admit.Config {
 	slots, slowStart := s.Slots, time.Duration(0)
 	if service := g.serviceOf(s); service != nil {
 		slots = min(slots, cmp.Or(service.Slots, slots))
 		slowStart = service.SlowStart
 	}
-	slots = min(slots, g.connections(s))
+	slots = min(slots, g.maxConnections(s))
 	cfg := admit.Config{Slots: slots, QueueMax: slots * g.cfg.QueuePerSlot, Fixed: g.cfg.FixedSlots}
 	if s.Since > 0 {
 		cfg.Since, cfg.SlowStart = time.UnixMilli(s.Since), slowStart
@@ -118,7 +118,7 @@
 	return cfg
 }
 
-func (g *Gateway) connections(s presence.Server) int {
+func (g *Gateway) maxConnections(s presence.Server) int {
 	if service := g.serviceOf(s); service != nil {
 		return min(s.Connections, cmp.Or(service.Connections, s.Connections))
 	}
@@ -133,23 +133,23 @@
 	return snap.Service(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service})
 }
 
-// backendAt returns the backend server at addr and its newest announcement, or
-// nil if none is announced. A version that came into force since is applied
+// backendAt returns the backend server at addr and its latest announcement, or nil if
+// none is announced. A version that has become active since the last call is applied
 // first.
 func (g *Gateway) backendAt(addr string) (*backend, presence.Server) {
 	snap := g.cfg.Directory().Snapshot
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if snap != g.applied {
-		g.applied = snap
+	if snap != g.appliedSnapshot {
+		g.appliedSnapshot = snap
 		for _, b := range g.backends {
-			if !b.gone {
-				g.apply(b)
+			if !b.removed {
+				g.applyLimits(b)
 			}
 		}
 	}
 	b := g.backends[addr]
-	if b == nil || b.gone {
+	if b == nil || b.removed {
 		return nil, presence.Server{}
 	}
 	return b, b.server
@@ -159,7 +159,7 @@
 func (g *Gateway) LocalLoad(addr string) (balance.Load, bool) {
 	g.mu.Lock()
 	b := g.backends[addr]
-	known := b != nil && !b.gone
+	known := b != nil && !b.removed
 	g.mu.Unlock()
 	if !known {
 		return balance.Load{}, false
--- a/internal/connection/gateway/backend_test.go
+++ b/internal/connection/gateway/backend_test.go
@@ -10,8 +10,8 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// TestLoadIsReadWhileServerLeaves guards against a data race between a daemon that tells a
-// server's load and the server's leave.
+// TestLoadIsReadWhileServerLeaves guards against a data race between reading a server's
+// load and removing the server.
 func TestLoadIsReadWhileServerLeaves(t *testing.T) {
 	g := New(Config{Directory: func() *directory.Directory { return &directory.Directory{} }}, logr.Discard())
 	const addr = "127.0.0.1:1"
--- a/internal/connection/gateway/bench_test.go
+++ b/internal/connection/gateway/bench_test.go
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkCall measures one caller's calls after another, all in one process:
-// straight to the backend server, through the daemon beside it, and through
-// two daemons. Allocations are those of caller, daemons and server together.
+// BenchmarkCall measures sequential calls of one caller, all in one process: directly to
+// the backend server, through the daemon on its instance, and through two daemons. The
+// allocations include those of the caller, the daemons and the server.
 func BenchmarkCall(b *testing.B) {
 	c := qt.New(b)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -22,8 +22,8 @@
 	defer server.Close()
 	addr := server.Listener.Addr().String()
 	local, forwarded := newFleet(c, 2), newFleet(c, 2)
-	local.place(20, map[int]string{0: addr})
-	forwarded.place(20, map[int]string{1: addr})
+	local.addServers(20, map[int]string{0: addr})
+	forwarded.addServers(20, map[int]string{1: addr})
 	for _, v := range []struct{ name, url string }{
 		{"direct", server.URL}, {"local", local.callers[0].URL}, {"forwarded", forwarded.callers[0].URL},
 	} {
--- a/internal/connection/gateway/body.go
+++ b/internal/connection/gateway/body.go
@@ -12,165 +12,168 @@
 )
 
 const (
-	// smallBody is the largest body that is read whole before the request is
-	// sent on: it can be sent again, and needs no "100 Continue" on the way.
-	smallBody = 16 << 10
-	// stallMax bounds a pause within a body, either way.
-	stallMax = 5 * time.Minute
+	// maxBufferedRequestBody is the size of the largest body that is read completely
+	// before the request is forwarded: such a body can be sent again and needs no "100
+	// Continue" upstream.
+	maxBufferedRequestBody = 16 << 10
+	// maxStall bounds a pause within a body, in either direction.
+	maxStall = 5 * time.Minute
 )
 
-// errDeadline is the cause of a context that a window ended.
+// errDeadline is the cause of a context that an inactivityTimer cancelled.
 var errDeadline = errors.New("the deadline passed")
 
-// deadlinePassed tells the end of a window from a caller that left.
+// deadlinePassed distinguishes an expired inactivityTimer from a caller that
+// disconnected.
 func deadlinePassed(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errDeadline)
 }
 
-// window ends a request's context when nothing happened for its length. It
-// begins at the request's arrival and again with each part of a streamed body,
-// so that a transfer in progress is never cut; it stops at the answer's header.
-type window struct {
-	length  time.Duration
+// inactivityTimer cancels a request's context after a period without activity. It starts
+// when the request arrives and restarts with each part of a streamed body, so it never
+// cuts a transfer in progress. It stops at the response header.
+type inactivityTimer struct {
+	timeout time.Duration
 	timer   *time.Timer
 	stopped atomic.Bool
 }
 
-// newWindow returns a context that the window ends with errDeadline.
-func newWindow(parent context.Context, length time.Duration) (context.Context, *window, context.CancelFunc) {
+// withInactivityTimeout returns a context that the returned timer cancels with
+// errDeadline.
+func withInactivityTimeout(parent context.Context, timeout time.Duration) (context.Context, *inactivityTimer, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	w := &window{length: length}
-	w.timer = time.AfterFunc(length, func() { cancel(errDeadline) })
-	return ctx, w, func() { w.stop(); cancel(context.Canceled) }
+	t := &inactivityTimer{timeout: timeout}
+	t.timer = time.AfterFunc(timeout, func() { cancel(errDeadline) })
+	return ctx, t, func() { t.stop(); cancel(context.Canceled) }
 }
 
-func (w *window) stop() {
-	w.stopped.Store(true)
-	w.timer.Stop()
+func (t *inactivityTimer) stop() {
+	t.stopped.Store(true)
+	t.timer.Stop()
 }
 
-// extend begins the window anew, unless it was stopped.
-func (w *window) extend(length time.Duration) {
-	if w.stopped.Load() {
+// reset restarts the timer unless it was stopped.
+func (t *inactivityTimer) reset(timeout time.Duration) {
+	if t.stopped.Load() {
 		return
 	}
-	w.timer.Reset(length)
-	if w.stopped.Load() {
-		w.timer.Stop()
+	t.timer.Reset(timeout)
+	if t.stopped.Load() {
+		t.timer.Stop()
 	}
 }
 
-// requestBody is the body of a request on its way through this daemon.
+// requestBody is the body of a request that passes through this daemon.
 type requestBody struct {
 	w http.ResponseWriter
 	r *http.Request
-	// small holds a body that was read whole.
-	small []byte
-	// stream is set for a larger body, begun once some of it was read, and
-	// whole once its end was.
-	stream bool
-	begun  atomic.Bool
-	whole  atomic.Bool
-	window *window
-	// stall is the window's length after a part of the body came; 0 leaves the
-	// window as it is.
-	stall time.Duration
-	// came and left, if set, are told of the parts of a streamed body, and once of
-	// its end.
-	came func(bytes int)
-	left func()
+	// buffered holds a body that was read completely.
+	buffered []byte
+	// streamed is set for a larger body, readStarted after the first read, and complete
+	// when its end has been read.
+	streamed    bool
+	readStarted atomic.Bool
+	complete    atomic.Bool
+	timer       *inactivityTimer
+	// stallTimeout is the timer's duration after a part of the body has arrived; 0 leaves
+	// the timer unchanged.
+	stallTimeout time.Duration
+	// onRead, if set, is called for each part of a streamed body, and onEnd once at its
+	// end.
+	onRead func(bytes int)
+	onEnd  func()
 }
 
-// counts has the parts of the body told to came, and its end to left.
-func (b *requestBody) counts(came func(bytes int), left func()) {
-	b.came, b.left = came, sync.OnceFunc(left)
+// setCallbacks sets the functions called for each part of the body and at its end.
+func (b *requestBody) setCallbacks(onRead func(bytes int), onEnd func()) {
+	b.onRead, b.onEnd = onRead, sync.OnceFunc(onEnd)
 }
 
-// leave tells that no more of the body comes.
-func (b *requestBody) leave() {
-	if b.left != nil {
-		b.left()
+// finish records that no more of the body will arrive.
+func (b *requestBody) finish() {
+	if b.onEnd != nil {
+		b.onEnd()
 	}
 }
 
-// newRequestBody reads a small body, or readies a larger one for streaming.
-func newRequestBody(w http.ResponseWriter, r *http.Request, win *window, stall time.Duration) (*requestBody, error) {
-	b := &requestBody{w: w, r: r, window: win, stall: stall}
+// newRequestBody reads a small body, or prepares a larger one for streaming.
+func newRequestBody(w http.ResponseWriter, r *http.Request, timer *inactivityTimer, stallTimeout time.Duration) (*requestBody, error) {
+	b := &requestBody{w: w, r: r, timer: timer, stallTimeout: stallTimeout}
 	if r.ContentLength == 0 {
 		return b, nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > smallBody {
-		b.stream = true
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedRequestBody {
+		b.streamed = true
 		return b, http.NewResponseController(w).EnableFullDuplex()
 	}
-	b.small = make([]byte, r.ContentLength)
+	b.buffered = make([]byte, r.ContentLength)
 	controller := http.NewResponseController(w)
-	_ = controller.SetReadDeadline(time.Now().Add(win.length))
-	if _, err := io.ReadFull(r.Body, b.small); err != nil {
-		// net/http reads on for the rest before it sends the refusal: the
-		// deadline stays, so that the caller need not wait for it.
+	_ = controller.SetReadDeadline(time.Now().Add(timer.timeout))
+	if _, err := io.ReadFull(r.Body, b.buffered); err != nil {
+		// net/http reads the remaining body before it sends the refusal. The deadline
+		// stays set, so that the caller does not wait for it.
 		return b, err
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return b, nil
 }
 
-// Read implements io.Reader. Each part that comes begins the window anew.
+// Read implements io.Reader. Each part that arrives restarts the timer.
 func (b *requestBody) Read(p []byte) (int, error) {
-	b.begun.Store(true)
+	b.readStarted.Store(true)
 	n, err := b.r.Body.Read(p)
-	if b.stall > 0 {
-		b.window.extend(b.stall)
+	if b.stallTimeout > 0 {
+		b.timer.reset(b.stallTimeout)
 	}
-	if b.came != nil {
-		b.came(n)
+	if b.onRead != nil {
+		b.onRead(n)
 	}
 	if err != nil {
-		b.leave()
+		b.finish()
 	}
 	if err == io.EOF {
-		b.whole.Store(true)
+		b.complete.Store(true)
 	}
 	return n, err
 }
 
 const (
-	// abortGrace lets a Read end by itself that has bytes to read.
-	abortGrace = 20 * time.Millisecond
-	// lingerClose is how long the rest of a body is read away that nobody
-	// wanted: a reset would take the answer from its caller.
-	lingerClose = 500 * time.Millisecond
+	// abortReadDelay lets a pending Read finish if it has bytes to return.
+	abortReadDelay = 20 * time.Millisecond
+	// discardTimeout is how long the unread rest of a body is discarded: a connection
+	// reset would lose the response before the caller has read it.
+	discardTimeout = 500 * time.Millisecond
 )
 
-// abort ends a pending Read.
-func (b *requestBody) abort() {
-	_ = http.NewResponseController(b.w).SetReadDeadline(time.Now().Add(abortGrace))
+// abortRead interrupts a pending Read.
+func (b *requestBody) abortRead() {
+	_ = http.NewResponseController(b.w).SetReadDeadline(time.Now().Add(abortReadDelay))
 }
 
-// announce is called before the answer's header is written. net/http must not
-// use the connection again while a streamed body is not read to its end: with
-// full duplex it would read the rest beside its own watch for the next request,
-// and panic.
-func (b *requestBody) announce(h http.Header) {
-	if b.stream && !b.whole.Load() {
+// closeIfUnread sets "Connection: close" if a streamed body has not been read to its end.
+// It must be called before the response header is written. net/http must not reuse such a
+// connection: with full duplex it would read the rest concurrently with its background
+// read for the next request, and panic.
+func (b *requestBody) closeIfUnread(h http.Header) {
+	if b.streamed && !b.complete.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-// settle ends the request after its answer: what is left of a begun body is
-// read away for a short while.
-func (b *requestBody) settle() {
-	if !b.begun.Load() || b.whole.Load() {
+// discardRest ends the request after its response by discarding the rest of a partially
+// read body for a short time.
+func (b *requestBody) discardRest() {
+	if !b.readStarted.Load() || b.complete.Load() {
 		return
 	}
 	controller := http.NewResponseController(b.w)
 	_ = controller.Flush()
-	_ = controller.SetReadDeadline(time.Now().Add(lingerClose))
+	_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, _ = io.Copy(io.Discard, b.r.Body)
 }
 
-// length is the framing for the way on.
-func (b *requestBody) length() int64 {
+// contentLength returns the length for upstream framing, or -1 if unknown.
+func (b *requestBody) contentLength() int64 {
 	if b.r.ContentLength > 0 {
 		return b.r.ContentLength
 	}
--- a/internal/connection/gateway/caller.go
+++ b/internal/connection/gateway/caller.go
@@ -14,233 +14,233 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// exchange is one request of a caller, while it lasts.
+// exchange is one request of a caller and its response.
 type exchange struct {
-	g     *Gateway
-	w     http.ResponseWriter
-	r     *http.Request
-	seen  *watched
-	dir   *directory.Directory
-	route *snapshot.Route
-	// target is the service that this request goes to.
-	target *snapshot.Service
-	hooked *Request
-	told   CallerTold
-	// fixed is set if the deadline stands however a body flows, because the
-	// caller told it.
-	fixed bool
-	// origin is the service of the instance where the request began.
+	g           *Gateway
+	w           http.ResponseWriter
+	r           *http.Request
+	observation *callObservation
+	dir         *directory.Directory
+	route       *snapshot.Route
+	// target is the service to which the request is routed.
+	target  *snapshot.Service
+	request *Request
+	caller  CallerTold
+	// fixedDeadline is set if the caller specified the deadline, so that body transfer
+	// does not extend it.
+	fixedDeadline bool
+	// origin is the service of the instance where the request originated.
 	origin string
-	// inherited is the probability that this request follows from a repeat.
-	inherited float64
-	// attempts are those begun so far.
+	// inheritedRetry is the probability that this request was made by a retried run.
+	inheritedRetry float64
+	// attempts counts the attempts started so far.
 	attempts int
-	// answeredBy is the server whose answer is passed on; serverTook is how long the server
-	// of the last attempt took, 0 if it is not known.
-	answeredBy *directory.Candidate
-	serverTook time.Duration
-	// claimed is set once Claims let the request run; settle is due then.
+	// respondingServer is the server whose response is relayed. serverTook is the time
+	// that the server of the last attempt took, or 0 if unknown.
+	respondingServer *directory.Candidate
+	serverTook       time.Duration
+	// claimed is set once Claims has allowed the request to run; Settle must follow.
 	claimed bool
-	// decided is set once the table of claims has told what it knows of the key.
-	decided bool
+	// claimKnown is set once the claim table has returned what it knows about the key.
+	claimKnown bool
 
 	deadline time.Time
-	window   *window
+	timer    *inactivityTimer
 	body     *requestBody
-	course   *course
+	call     *lockedCall
 }
 
-// ServeCaller serves the caller listener.
+// ServeCaller handles the requests of the caller listener.
 func (g *Gateway) ServeCaller(w http.ResponseWriter, r *http.Request) {
-	r, seen := g.watch(r)
-	defer seen.end()
-	x := &exchange{g: g, w: w, r: r, seen: seen}
-	g.setClose(w.Header())
-	if refused := x.find(); refused != nil {
+	r, observation := g.observeCall(r)
+	defer observation.finish()
+	x := &exchange{g: g, w: w, r: r, observation: observation}
+	g.setConnectionClose(w.Header())
+	if refused := x.matchRoute(); refused != nil {
 		x.refuse(refused)
 		return
 	}
-	if !g.enter(x.route.Mesh) {
-		x.refuse(&refusal{Error: result.Errorf(result.Overloaded, "mesh %s has its share of this daemon", x.route.Mesh), back: retryAfterBusy})
+	if !g.acquireShare(x.route.Mesh) {
+		x.refuse(&refusal{Error: result.Errorf(result.Overloaded, "mesh %s has reached its share of this daemon's concurrent calls", x.route.Mesh), retryAfter: retryAfterOverload})
 		return
 	}
-	defer g.exit(x.route.Mesh)
-	x.hooked = &Request{Mesh: x.route.Mesh, Service: x.target.Name, Repeatable: x.route.Repeatable, HTTP: x.r}
+	defer g.releaseShare(x.route.Mesh)
+	x.request = &Request{Mesh: x.route.Mesh, Service: x.target.Name, Repeatable: x.route.Repeatable, HTTP: x.r}
 	x.run()
 }
 
-// refuse gives the final answer without a run.
+// refuse writes the final response to a request that was refused.
 func (x *exchange) refuse(r *refusal) {
-	x.seen.done.Code = r.Code
+	x.observation.result.Code = r.Code
 	outcome := x.outcome(r.Code)
 	x.logRefusal(r, outcome)
-	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, Back: r.back})
+	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, Back: r.retryAfter})
 }
 
-// find matches the route.
-func (x *exchange) find() *refusal {
-	x.told = x.g.cfg.Dialect.Caller(x.r)
-	if !x.g.awaitStart(x.r.Context(), x.told.Left, x.g.cfg.Ready) {
-		return &refusal{Error: result.Errorf(result.NotReady, "no confirmed version yet"), back: x.g.untilReady(x.told.Left)}
+// matchRoute finds the route, the target service and the deadline of the request.
+func (x *exchange) matchRoute() *refusal {
+	x.caller = x.g.cfg.Dialect.Caller(x.r)
+	if !x.g.awaitReady(x.r.Context(), x.caller.Left, x.g.cfg.Ready) {
+		return &refusal{Error: result.Errorf(result.NotReady, "no confirmed version yet"), retryAfter: x.g.readyRetryAfter(x.caller.Left)}
 	}
 	if x.r.Method == http.MethodConnect {
-		return refuse(result.BadRequest, "CONNECT is not served")
+		return newRefusal(result.BadRequest, "CONNECT is not supported")
 	}
 	x.dir = x.g.cfg.Directory()
 	route, err := x.dir.Snapshot.Match(x.r.Method, x.r.Host, x.r.URL.EscapedPath())
 	if err != nil {
-		return refuse(result.BadRequest, err.Error())
+		return newRefusal(result.BadRequest, err.Error())
 	}
 	if route == nil {
-		return refuse(result.NoRoute, x.r.Method+" "+x.r.Host+x.r.URL.Path)
+		return newRefusal(result.NoRoute, x.r.Method+" "+x.r.Host+x.r.URL.Path)
 	}
 	x.route = route
-	x.seen.route(route.Mesh, route.Name)
-	if most := route.Limits.BodyBytes; most > 0 {
-		if x.r.ContentLength > most {
-			return refuse(result.BodyTooLarge, strconv.FormatInt(x.r.ContentLength, 10)+" bytes")
+	x.observation.setRoute(route.Mesh, route.Name)
+	if maxBytes := route.Limits.BodyBytes; maxBytes > 0 {
+		if x.r.ContentLength > maxBytes {
+			return newRefusal(result.BodyTooLarge, strconv.FormatInt(x.r.ContentLength, 10)+" bytes")
 		}
-		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, most)
+		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, maxBytes)
 	}
 	x.target = route.Pick(rand.Uint64())
-	if x.told.Depth >= depthMax {
-		return refuse(result.BadRequest, "the call is too deep; is there a loop?")
+	if x.caller.Depth >= maxDepth {
+		return newRefusal(result.BadRequest, "the call is nested too deeply, possibly in a loop")
 	}
 	x.origin = x.g.cfg.Origin()
 	timeout := route.Timeout
-	if x.told.Left > 0 {
-		x.fixed = x.told.ID != ""
-		timeout = min(timeout, x.told.Left)
+	if x.caller.Left > 0 {
+		x.fixedDeadline = x.caller.ID != ""
+		timeout = min(timeout, x.caller.Left)
 	}
-	x.deadline = x.seen.start.Add(timeout)
+	x.deadline = x.observation.start.Add(timeout)
 	return nil
 }
 
-// run takes the request to its one final answer.
+// run processes the request up to its single final response.
 func (x *exchange) run() {
 	settlement := Settlement{Code: result.AnswerLost}
-	defer func() { x.settle(settlement) }()
+	defer func() { x.settleClaim(settlement) }()
 	parent := x.r.Context()
-	if x.keyed() {
+	if x.hasIdempotencyKey() {
 		parent = context.WithoutCancel(parent)
 	}
-	ctx, win, cancel := newWindow(parent, time.Until(x.deadline))
+	ctx, timer, cancel := withInactivityTimeout(parent, time.Until(x.deadline))
 	defer cancel()
-	x.window = win
-	stall := x.route.Timeout
-	if x.fixed {
-		stall = 0
+	x.timer = timer
+	stallTimeout := x.route.Timeout
+	if x.fixedDeadline {
+		stallTimeout = 0
 	}
-	body, err := newRequestBody(x.w, x.r, win, stall)
+	body, err := newRequestBody(x.w, x.r, timer, stallTimeout)
 	if err != nil {
-		x.refuse(refuse(result.BadRequest, "the body did not come whole: "+err.Error()))
+		x.refuse(newRefusal(result.BadRequest, "the request body is incomplete: "+err.Error()))
 		return
 	}
 	x.body = body
 	pin, refused := x.screen()
 	if refused != nil {
-		body.announce(x.w.Header())
+		body.closeIfUnread(x.w.Header())
 		x.refuse(refused)
-		body.settle()
+		body.discardRest()
 		return
 	}
 	if !x.claim() {
-		body.settle()
+		body.discardRest()
 		return
 	}
 	resp, refused := x.dispatch(ctx, pin)
 	if refused != nil {
 		settlement.Code = refused.Code
-		body.announce(x.w.Header())
+		body.closeIfUnread(x.w.Header())
 		x.refuse(refused)
-		body.settle()
+		body.discardRest()
 		return
 	}
-	win.stop()
-	settlement = x.answer(resp)
-	body.settle()
+	timer.stop()
+	settlement = x.relayResponse(resp)
+	body.discardRest()
 }
 
-func (x *exchange) settle(s Settlement) {
+func (x *exchange) settleClaim(s Settlement) {
 	if x.claimed {
-		x.g.cfg.Claims.Settle(x.hooked, s)
+		x.g.cfg.Claims.Settle(x.request, s)
 	}
 }
 
-// answer passes a backend server's answer on. An answer that was cut is cut for
-// the caller.
-func (x *exchange) answer(resp *http.Response) Settlement {
-	var kept *capture
+// relayResponse passes a backend server's response on. A truncated response is also
+// truncated for the caller.
+func (x *exchange) relayResponse(resp *http.Response) Settlement {
+	var captured *bodyCapture
 	if x.claimed {
-		kept = &capture{}
-	}
-	x.body.announce(x.w.Header())
-	x.g.link.lengths.Note(x.route.Name, resp.ContentLength)
-	whole := relay(x.r.Context(), x.w, resp, kept, nil)
-	x.course.relayed(whole)
-	x.metAnswer(resp.StatusCode, whole)
-	if !whole {
+		captured = &bodyCapture{}
+	}
+	x.body.closeIfUnread(x.w.Header())
+	x.g.link.responseLengths.Note(x.route.Name, resp.ContentLength)
+	complete := relay(x.r.Context(), x.w, resp, captured, nil)
+	x.call.relayed(complete)
+	x.recordResponse(resp.StatusCode, complete)
+	if !complete {
 		if !x.r.ProtoAtLeast(1, 1) {
 			graceful.Reset(x.r.Context())
 		}
-		x.settle(Settlement{Code: result.AnswerLost})
+		x.settleClaim(Settlement{Code: result.AnswerLost})
 		x.claimed = false
 		panic(http.ErrAbortHandler)
 	}
-	x.seen.done.Code = result.OK
+	x.observation.result.Code = result.OK
 	s := Settlement{Code: result.OK}
-	if kept != nil && !kept.over {
-		s.Answer = &KeptAnswer{Status: resp.StatusCode, Header: http.Header{}, Body: kept.body}
-		copyHeader(s.Answer.Header, resp.Header)
+	if captured != nil && !captured.overflowed {
+		s.Response = &StoredResponse{Status: resp.StatusCode, Header: http.Header{}, Body: captured.body}
+		copyHeader(s.Response.Header, resp.Header)
 	}
 	return s
 }
 
-// dispatch carries out the actions of the flow until there is an answer to
-// relay or the caller is to be refused.
+// dispatch executes the actions of the flow until there is a response to relay or the
+// caller has to be refused.
 func (x *exchange) dispatch(ctx context.Context, pin uint64) (*http.Response, *refusal) {
 	target := x.target
-	x.inherited = x.inherits()
-	course, action := x.g.beginCall(x.g.service(target.Key), x.dir, target, x.route.Name, flow.Request{
-		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.large(x.body), Answer: x.g.link.largeAnswer(x.route.Name), Inherited: x.inherited,
+	x.inheritedRetry = x.inheritedRetryProbability()
+	call, action := x.g.beginCall(x.g.service(target.Key), x.dir, target, x.route.Name, flow.Request{
+		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.largeBodyLength(x.body), Answer: x.g.link.expectedLargeResponse(x.route.Name), Inherited: x.inheritedRetry,
 	})
-	x.course = course
+	x.call = call
 	var last *refusal
 	for number := 0; action.Kind == flow.Try; number++ {
 		start := time.Now()
 		x.attempts, x.serverTook = number+1, 0
 		resp, refused := x.attempt(ctx, action)
 		took := time.Since(start)
-		x.observe(action.Candidate, number, refused, took)
+		x.reportAttempt(action.Candidate, number, refused, took)
 		if refused == nil {
-			course.answered()
-			x.answeredBy = action.Candidate
+			call.answered()
+			x.respondingServer = action.Candidate
 			x.logAnswered(action.Candidate, resp.StatusCode)
 			return resp, nil
 		}
 		x.logAttempt(action.Candidate, number, refused, took)
-		x.metRefusal(action.Candidate, refused, took)
+		x.recordRefusal(action.Candidate, refused, took)
 		last = refused
-		again := x.isolate(refused) && !x.body.begun.Load()
-		action = course.failed(refused, !again)
+		retryable := x.isolate(refused) && !x.body.readStarted.Load()
+		action = call.failed(refused, !retryable)
 	}
-	if action.Code == result.NoBackendServer && time.Since(x.g.started) < learning {
-		return nil, &refusal{Error: result.Errorf(result.NotReady, "this daemon has just started and knows no server of %s yet", target.Key), back: x.g.untilReady(time.Until(x.deadline))}
+	if action.Code == result.NoBackendServer && time.Since(x.g.started) < learningPeriod {
+		return nil, &refusal{Error: result.Errorf(result.NotReady, "this daemon has just started and has not discovered a server of %s yet", target.Key), retryAfter: x.g.readyRetryAfter(time.Until(x.deadline))}
 	}
 	if last == nil {
-		last = refuse(result.NoBackendServer, "service "+target.Key.String())
+		last = newRefusal(result.NoBackendServer, "service "+target.Key.String())
 	}
 	if action.Kind == flow.Answer && action.Code != last.Code {
-		last = refuse(action.Code, action.Code.Meaning())
+		last = newRefusal(action.Code, action.Code.Meaning())
 	}
-	last.back = action.RetryAfter
+	last.retryAfter = action.RetryAfter
 	if last.Code == result.BackendCrashed {
-		last.back = retryAfterCrash
+		last.retryAfter = retryAfterCrash
 	}
 	return nil, last
 }
 
-func (x *exchange) observe(to *directory.Candidate, number int, refused *refusal, took time.Duration) {
+func (x *exchange) reportAttempt(to *directory.Candidate, number int, refused *refusal, took time.Duration) {
 	x.g.cfg.Observer.Attempt(Attempt{
 		Mesh: x.route.Mesh, Route: x.route.Name, Node: to.Node.Name, Server: to.Server.Addr,
 		Number: number, Code: codeOf(refused), Duration: took,
--- a/internal/connection/gateway/dialect.go
+++ b/internal/connection/gateway/dialect.go
@@ -8,86 +8,87 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Dialect is how callers and backend servers name what the gateway has to know
-// of a call. It translates and decides nothing. It must be safe for concurrent
-// use.
+// Dialect translates between the headers of callers and backend servers and the values
+// that the gateway uses. It makes no decisions. Implementations must be safe for
+// concurrent use.
 type Dialect interface {
-	// Caller reads what a caller says of its request.
+	// Caller parses the request metadata sent by a caller.
 	Caller(r *http.Request) CallerTold
-	// Server returns the headers that tell a backend server of the request; they
-	// go before those of the same names that the caller sent.
+	// Server returns the request headers for a backend server. They replace headers of
+	// the same names sent by the caller.
 	Server(t ServerTold) http.Header
-	// Answer reads what a backend server says of its answer.
+	// Answer parses the response metadata sent by a backend server.
 	Answer(status int, h http.Header) AnswerTold
-	// Refuse gives a caller a final answer that no backend server gave.
+	// Refuse writes a final response that does not come from a backend server.
 	Refuse(w http.ResponseWriter, r Refusal)
 }
 
-// CallerTold is what a caller says of its request.
+// CallerTold is the request metadata sent by a caller.
 type CallerTold struct {
-	// ID names this sending of the request; "" if the caller does not tell.
+	// ID identifies this submission of the request; "" if the caller did not send it.
 	ID string
-	// Left is how long the caller waits; 0 if it does not tell.
+	// Left is how long the caller will wait; 0 if it did not say.
 	Left time.Duration
-	// Depth is how many backend servers the request came through.
+	// Depth is the number of backend servers that the request has passed through.
 	Depth int
 }
 
-// ServerTold is what a backend server is told.
+// ServerTold is the request metadata sent to a backend server.
 type ServerTold struct {
-	// Left is the time until the answer is of no use.
+	// Left is the time until the response is no longer needed.
 	Left time.Duration
-	// Depth counts the backend servers that the request came through, the one
-	// told included.
+	// Depth is the number of backend servers that the request has passed through,
+	// including the receiver.
 	Depth int
-	// Boot is the start of the server that is to run the request; "" for any.
+	// Boot identifies the start of the server that must run the request; "" means any.
 	Boot string
-	// Origin is the service of the instance where the request began, or "".
+	// Origin is the service of the instance where the request originated, or "".
 	Origin string
 }
 
-// AnswerTold is what a backend server says of its answer.
+// AnswerTold is the response metadata sent by a backend server.
 type AnswerTold struct {
-	// NotRun is set if the server says that it did not run the request.
+	// NotRun is set if the server states that it did not run the request.
 	NotRun bool
-	// Misdirected is set if it says that it is another boot than the one named.
+	// Misdirected is set if the server states that it is not the expected boot.
 	Misdirected bool
-	// ID is the request that the answer belongs to; "" if it does not tell.
+	// ID identifies the request that the response belongs to; "" if the server did not
+	// send it.
 	ID string
 }
 
-// Refusal is a final answer without one of a backend server.
+// Refusal is a final response that does not come from a backend server.
 type Refusal struct {
 	*result.Error
-	// Outcome is what is known of the request.
+	// Outcome is what is known about the request.
 	Outcome result.Outcome
-	// Back is when to come back; 0 is not known.
+	// Back is when to retry; 0 means unknown.
 	Back time.Duration
 }
 
-// ownDialect is daisygate's own.
-type ownDialect struct{}
+// defaultDialect is daisygate's own Dialect.
+type defaultDialect struct{}
 
-// Caller implements Dialect. Only a call of the same instance carries the time
-// left and the depth on: there a backend server may pass on those of the
-// request that it runs.
-func (ownDialect) Caller(r *http.Request) CallerTold {
-	depth, left := nesting(r)
+// Caller implements Dialect. The remaining time and the depth are accepted only from the
+// same instance, where a backend server may pass on those of the request that it is
+// running.
+func (defaultDialect) Caller(r *http.Request) CallerTold {
+	depth, left := nestedCall(r)
 	return CallerTold{Depth: depth, Left: left}
 }
 
 // Server implements Dialect.
-func (ownDialect) Server(t ServerTold) http.Header {
+func (defaultDialect) Server(t ServerTold) http.Header {
 	return http.Header{
-		HeaderTimeout: {microseconds(t.Left)},
+		HeaderTimeout: {formatMicroseconds(t.Left)},
 		HeaderDepth:   {strconv.Itoa(t.Depth)},
 	}
 }
 
 // Answer implements Dialect.
-func (ownDialect) Answer(int, http.Header) AnswerTold { return AnswerTold{} }
+func (defaultDialect) Answer(int, http.Header) AnswerTold { return AnswerTold{} }
 
 // Refuse implements Dialect.
-func (ownDialect) Refuse(w http.ResponseWriter, r Refusal) {
+func (defaultDialect) Refuse(w http.ResponseWriter, r Refusal) {
 	result.WriteHTTPOutcome(w, r.Error, r.Back, r.Outcome)
 }
--- a/internal/connection/gateway/fleet_test.go
+++ b/internal/connection/gateway/fleet_test.go
@@ -25,11 +25,11 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// shortTimeout is that of the route /short, which transfers must outlast.
+// shortTimeout is the timeout of the route /short. Transfers must be able to outlast it.
 const shortTimeout = 300 * time.Millisecond
 
-// fleetOf is gateways on loopback that know of each other.
-type fleetOf struct {
+// testFleet is a set of gateways on loopback that know each other.
+type testFleet struct {
 	c        *qt.C
 	gateways []*Gateway
 	callers  []*httptest.Server
@@ -38,8 +38,8 @@
 	snap     *snapshot.Snapshot
 }
 
-func newFleet(c *qt.C, size int) *fleetOf {
-	f := &fleetOf{c: c}
+func newFleet(c *qt.C, size int) *testFleet {
+	f := &testFleet{c: c}
 	route := func(path string, timeout time.Duration, repeatable bool) manifest.Route {
 		return manifest.Route{Name: path, Path: path, Service: "s", Timeout: timeout, Repeatable: repeatable, Retries: 2}
 	}
@@ -68,14 +68,15 @@
 	return f
 }
 
-// place announces a server with slots beside each of the named gateways.
-func (f *fleetOf) place(slots int, servers map[int]string) {
+// addServers adds servers with the given number of slots, keyed by the index of their
+// gateway.
+func (f *testFleet) addServers(slots int, servers map[int]string) {
 	for i, addr := range servers {
-		f.announce(i, presence.Server{Mesh: "m", Service: "s", Addr: addr, Slots: slots, Connections: 100, State: presence.Serving})
+		f.addServer(i, presence.Server{Mesh: "m", Service: "s", Addr: addr, Slots: slots, Connections: 100, State: presence.Serving})
 	}
 }
 
-func (f *fleetOf) announce(at int, s presence.Server) {
+func (f *testFleet) addServer(at int, s presence.Server) {
 	f.records[at].Servers = append(f.records[at].Servers, s)
 	f.dir.Store(directory.Build(f.snap, f.records))
 	for i, g := range f.gateways {
@@ -83,11 +84,11 @@
 	}
 }
 
-// script answers the requests of a raw backend server: it gets the number of
+// serverScript handles the requests of a raw backend server. It receives the number of
 // the request since the start and the request, and writes to the connection.
-type script func(n int64, r *http.Request, conn net.Conn) (keep bool)
+type serverScript func(n int64, r *http.Request, conn net.Conn) (keep bool)
 
-func rawServer(c *qt.C, s script) (addr string, runs *atomic.Int64) {
+func rawServer(c *qt.C, s serverScript) (addr string, runs *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	runs = &atomic.Int64{}
@@ -104,7 +105,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()).String(), runs
 }
 
-func serveScript(conn net.Conn, runs *atomic.Int64, s script) {
+func serveScript(conn net.Conn, runs *atomic.Int64, s serverScript) {
 	defer func() { _ = conn.Close() }()
 	for br := bufio.NewReader(conn); ; {
 		r, err := http.ReadRequest(br)
@@ -114,14 +115,14 @@
 	}
 }
 
-func say(conn net.Conn, text string) bool {
+func writeRaw(conn net.Conn, text string) bool {
 	_, err := io.WriteString(conn, strings.ReplaceAll(text, "\n", "\r\n"))
 	return err == nil
 }
 
 const okAnswer = "HTTP/1.1 200 OK\nContent-Length: 2\n\n"
 
-type answer struct {
+type callResult struct {
 	status  int
 	outcome string
 	body    string
@@ -129,26 +130,26 @@
 	resp    *http.Response
 }
 
-func (f *fleetOf) do(gateway int, method, path string, body io.Reader, header ...string) answer {
+func (f *testFleet) do(gateway int, method, path string, body io.Reader, header ...string) callResult {
 	req, err := http.NewRequest(method, f.callers[gateway].URL+path, body)
 	f.c.Assert(err, qt.IsNil)
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	transport := &http.Transport{} // a fresh connection: nothing is repeated by it
+	transport := &http.Transport{} // a new connection, so that the transport does not retry
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return answer{err: err}
+		return callResult{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, outcome: resp.Header.Get(result.HeaderOutcome), body: string(raw), err: err, resp: resp}
+	return callResult{status: resp.StatusCode, outcome: resp.Header.Get(result.HeaderOutcome), body: string(raw), err: err, resp: resp}
 }
 
-// everyHop runs a test with the server beside the first daemon, and with it
-// beside another.
-func everyHop(t *testing.T, test func(c *qt.C, f *fleetOf, at int)) {
+// forLocalAndForwarded runs a test with the server on the first daemon's instance, and
+// with it on another instance.
+func forLocalAndForwarded(t *testing.T, test func(c *qt.C, f *testFleet, at int)) {
 	for at, name := range []string{"local", "forwarded"} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -157,14 +158,14 @@
 	}
 }
 
-// slowly yields parts with pauses that together outlast shortTimeout.
-type slowly struct{ parts int }
+// slowReader returns parts with pauses that together exceed shortTimeout.
+type slowReader struct{ remaining int }
 
-func (s *slowly) Read(p []byte) (int, error) {
-	if s.parts == 0 {
+func (s *slowReader) Read(p []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	s.parts--
+	s.remaining--
 	time.Sleep(shortTimeout / 3)
 	return copy(p, "part"), nil
 }
--- a/internal/connection/gateway/gate.go
+++ b/internal/connection/gateway/gate.go
@@ -11,18 +11,19 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// refusal is a final answer without a run, or one whose run is unknown.
+// refusal is the final result of a request that was not run, or for which it is unknown
+// whether it ran.
 type refusal struct {
 	*result.Error
-	// back is when to come back; 0 is not known.
-	back time.Duration
+	// retryAfter is when to retry; 0 means unknown.
+	retryAfter time.Duration
 }
 
-func refuse(code result.Code, detail string) *refusal {
+func newRefusal(code result.Code, detail string) *refusal {
 	return &refusal{Error: &result.Error{Code: code, Detail: detail}}
 }
 
-// gate is an admit.Core that goroutines wait at.
+// gate is an admit.Core on which goroutines can wait.
 type gate struct {
 	mu      sync.Mutex
 	core    *admit.Core
@@ -34,9 +35,9 @@
 	return &gate{core: admit.New(cfg), waiting: map[uint64]chan admit.Decision{}}
 }
 
-// Enter waits for a slot. With nil the caller must call Leave.
-func (g *gate) Enter(ctx context.Context, t admit.Ticket) *refusal {
-	reply, decided := g.arrive(&t)
+// Acquire waits for a slot. If it returns nil, the caller must call Release.
+func (g *gate) Acquire(ctx context.Context, t admit.Ticket) *refusal {
+	reply, decided := g.submit(&t)
 	if reply == nil {
 		return refusalOf(decided)
 	}
@@ -46,44 +47,44 @@
 	case d := <-reply:
 		return refusalOf(d)
 	case <-ctx.Done():
-		return g.abandon(t.ID, reply, whyEnded(ctx))
+		return g.cancel(t.ID, reply, contextEndCode(ctx))
 	case <-timer.C:
-		return g.abandon(t.ID, reply, result.DeadlineTooShort)
+		return g.cancel(t.ID, reply, result.DeadlineTooShort)
 	}
 }
 
-// whyEnded tells a deadline, which leaves a waiting request certainly not run,
-// from a caller that left.
-func whyEnded(ctx context.Context) result.Code {
+// contextEndCode distinguishes a passed deadline, after which a queued request was
+// certainly not run, from a caller that disconnected.
+func contextEndCode(ctx context.Context) result.Code {
 	if deadlinePassed(ctx) {
 		return result.DeadlineTooShort
 	}
 	return result.CallerLeft
 }
 
-// arrive returns the decision on t, or the channel that it will come on.
-func (g *gate) arrive(t *admit.Ticket) (chan admit.Decision, admit.Decision) {
+// submit returns the decision on t, or the channel on which it will be delivered.
+func (g *gate) submit(t *admit.Ticket) (chan admit.Decision, admit.Decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.nextID++
 	t.ID = g.nextID
-	var own admit.Decision
+	var decision admit.Decision
 	for _, d := range g.core.Arrive(time.Now(), *t) {
 		if d.ID == t.ID {
-			own = d
+			decision = d
 		}
 		g.deliver(d)
 	}
-	if own.Verdict != admit.Wait {
-		return nil, own
+	if decision.Verdict != admit.Wait {
+		return nil, decision
 	}
 	reply := make(chan admit.Decision, 1)
 	g.waiting[t.ID] = reply
-	return reply, own
+	return reply, decision
 }
 
-// Would returns the refusal that a ticket would get now, nil if none.
-func (g *gate) Would(t admit.Ticket) *refusal {
+// WouldRefuse returns the refusal that a ticket would get now, or nil.
+func (g *gate) WouldRefuse(t admit.Ticket) *refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d, refused := g.core.Refuses(time.Now(), &t); refused {
@@ -96,22 +97,22 @@
 	if d.Verdict == admit.Start {
 		return nil
 	}
-	return &refusal{Error: &result.Error{Code: d.Code, Detail: d.Reason.String()}, back: d.RetryAfter}
+	return &refusal{Error: &result.Error{Code: d.Code, Detail: d.Reason.String()}, retryAfter: d.RetryAfter}
 }
 
-// abandon takes a ticket out of the queue; one that got its slot meanwhile
-// gives it back.
-func (g *gate) abandon(id uint64, reply chan admit.Decision, code result.Code) *refusal {
+// cancel removes a ticket from the queue. If the ticket has got a slot in the meantime,
+// the slot is released.
+func (g *gate) cancel(id uint64, reply chan admit.Decision, code result.Code) *refusal {
 	g.mu.Lock()
 	waiting := g.core.Cancel(id)
 	delete(g.waiting, id)
 	g.mu.Unlock()
 	if !waiting {
 		if d := <-reply; d.Verdict == admit.Start {
-			g.Leave("", 0)
+			g.Release("", 0)
 		}
 	}
-	return refuse(code, code.Meaning())
+	return newRefusal(code, code.Meaning())
 }
 
 func (g *gate) deliver(decisions ...admit.Decision) {
@@ -123,15 +124,15 @@
 	}
 }
 
-// Leave returns the slot of a request of a kind; took is the time to the answer's
-// header, 0 without one.
-func (g *gate) Leave(kind string, took time.Duration) {
+// Release frees the slot of a request of the given kind. took is the time until the
+// response header, or 0 without one.
+func (g *gate) Release(kind string, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deliver(g.core.Finish(time.Now(), kind, took)...)
 }
 
-// Load is how full the server is. A stalled one counts as full.
+// Load returns the server's load. A stalled server counts as full.
 func (g *gate) Load() balance.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,8 +147,8 @@
 	return l
 }
 
-// Ended takes in how a request that came to the server ended there.
-func (g *gate) Ended(resp *http.Response, r *refusal) {
+// RecordResult records how a request that reached the server ended.
+func (g *gate) RecordResult(resp *http.Response, r *refusal) {
 	failed := false
 	switch {
 	case r == nil:
@@ -155,28 +156,28 @@
 	case r.Code == result.AnswerLost, r.Code == result.DeadlineExceeded, r.Code == result.BackendCrashed, r.Code == result.ServerRefused:
 		failed = true
 	default:
-		return // it says nothing of the server
+		return // says nothing about the server
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.core.Ended(failed)
 }
 
-// usual is the time that requests of a kind take.
-func (g *gate) usual(kind string) time.Duration {
+// typicalTime returns the usual duration of requests of the given kind.
+func (g *gate) typicalTime(kind string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Usual(kind)
 }
 
-// Running is the number of slots in use.
+// Running returns the number of slots in use.
 func (g *gate) Running() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Running()
 }
 
-// Configure sets the bounds and whether the server drains.
+// Configure sets the limits and whether the server is draining.
 func (g *gate) Configure(cfg admit.Config, draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/connection/gateway/gateway.go
+++ b/internal/connection/gateway/gateway.go
@@ -1,15 +1,15 @@
-// Package gateway serves calls. ServeCaller takes a request of a caller, picks
-// a backend server and passes the request to the daemon beside it; ServePeer is
-// that daemon's side, which alone talks to the backend server and counts its
-// slots.
+// Package gateway proxies calls. ServeCaller accepts a request from a caller, picks a
+// backend server and sends the request to the daemon on that server's instance. ServePeer
+// is the receiving side: only the daemon on the same instance talks to a backend server
+// and counts its slots.
 //
-// Every answer says whether the request was run, was certainly not run, or may
-// have been run (package result). What is decided stands in internal/request;
-// this package is the driver with its sockets, goroutines and clock.
+// Every response states whether the request was run, was certainly not run, or may have
+// been run (package result). The decisions are made by the packages in internal/request;
+// this package drives them with sockets, goroutines and the clock.
 //
-// A route's timeout bounds a request up to the header of its answer. While the
-// request's body flows it begins anew with each part, and once the answer's
-// header came it ends; so no transfer in progress is cut by it.
+// A route's timeout applies until the response header arrives. It restarts with each part
+// of the request body that arrives and stops at the response header, so it never cuts a
+// transfer in progress.
 package gateway
 
 import (
@@ -29,75 +29,78 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Config is fixed for the life of a Gateway.
+// Config holds the settings of a Gateway; they do not change afterwards.
 type Config struct {
-	// Self, Domain and Region are this daemon's name and place.
+	// Self, Domain and Region are this daemon's name, failure domain and region.
 	Self   string
 	Domain string
 	Region string
-	// QueuePerSlot is the admission queue's length in multiples of the slots.
+	// QueuePerSlot is the length of the admission queue per slot.
 	QueuePerSlot int
-	// Calls is the most calls of callers in progress; 0 is defaultCalls.
+	// Calls is the maximum number of concurrent calls from callers; 0 means
+	// defaultMaxCalls.
 	Calls int
-	// Directory returns the newest directory.
+	// Directory returns the current directory.
 	Directory func() *directory.Directory
-	// Ready reports whether a confirmed version is in force.
+	// Ready reports whether a confirmed version is active.
 	Ready func() bool
-	// Observer and Tracer are told what becomes of calls; nil tells nobody.
+	// Observer and Tracer receive the progress of calls; nil disables them.
 	Observer Observer
 	Tracer   Tracer
 	// Claims and Suspects are optional.
 	Claims   Claims
-	Suspects Suspects
-	// Dialect is how callers and backend servers speak; nil is daisygate's own.
+	Suspects CrashScreener
+	// Dialect translates the headers of callers and backend servers; nil selects
+	// daisygate's own.
 	Dialect Dialect
-	// Origin is the service of this instance's backend server, which its callers'
-	// requests are said to come from; nil is none.
+	// Origin returns the service of this instance's backend server, which is recorded as
+	// the origin of requests from local callers. nil means there is none.
 	Origin func() string
-	// Abrupt closes the connection of a request that was given up, and takes the
-	// slot for free at once. Else the backend server's own close is awaited.
+	// Abrupt closes the connection of an abandoned request and frees its slot
+	// immediately. Otherwise the gateway waits for the backend server to close the
+	// connection.
 	Abrupt bool
-	// FixedSlots keeps to the slots that a backend server announces, however its
-	// latency climbs.
+	// FixedSlots keeps the limit at the slots that a backend server announces, regardless
+	// of its latency.
 	FixedSlots bool
-	// HoldBytes is the largest answer that is read whole before it is passed on;
-	// 0 streams every answer.
+	// HoldBytes is the size of the largest response that is buffered completely before it
+	// is passed on; 0 streams every response.
 	HoldBytes int64
-	// LinkBytes is what the instance's link takes each way, in bytes a second; 0 is not
-	// known, and large bodies and answers then come and go as they like.
+	// LinkBytes is the capacity of the instance's link in each direction, in bytes per
+	// second. 0 means unknown: large bodies and responses are then not scheduled.
 	LinkBytes float64
-	// Refused is told of a backend server at whose address nobody listens.
+	// Refused is called with the address of a backend server that refused a connection.
 	Refused func(addr string)
-	// Misdirected is told of an address at which another boot answered than the one named,
-	// which is "" if none was.
+	// Misdirected is called with an address at which a different boot (start of a server)
+	// answered than the expected one; boot is "" if none was expected.
 	Misdirected func(addr, boot string)
-	// Retry bounds the further attempts of this daemon.
+	// Retry returns the limits on this daemon's retries.
 	Retry func() retry.Limits
-	// Rollout bounds what software versions under roll-out get.
+	// Rollout limits the exposure of software versions during a rollout.
 	Rollout RolloutConfig
-	// RequestLog receives the lines about single requests, RequestLines of them a
-	// second at most; 0 is no bound.
+	// RequestLog receives the log lines about single requests, at most RequestLines per
+	// second; 0 means no limit.
 	RequestLog   logr.Logger
 	RequestLines int
 }
 
-// Gateway serves calls. It is safe for concurrent use.
+// Gateway proxies calls. It is safe for concurrent use.
 type Gateway struct {
-	cfg      Config
-	log      logr.Logger
-	requests *requestLog
-	link     *link
-	held     *holder
-	peers    *peers
-	repeats  *repeatTracker
-	started  time.Time
-	leaving  atomic.Bool
-	// starting counts the requests that wait for the end of this daemon's start.
-	starting atomic.Int64
-
-	mu       sync.Mutex
-	backends map[string]*backend
-	applied  *snapshot.Snapshot
+	cfg            Config
+	log            logr.Logger
+	requestLog     *requestLog
+	link           *link
+	responseBuffer *responseBuffer
+	peerPools      *peerPools
+	retryTracker   *retryTracker
+	started        time.Time
+	shuttingDown   atomic.Bool
+	// startupWaiters counts the requests that wait for this daemon's startup to finish.
+	startupWaiters atomic.Int64
+
+	mu              sync.Mutex
+	backends        map[string]*backend
+	appliedSnapshot *snapshot.Snapshot
 
 	servicesMu sync.RWMutex
 	services   map[snapshot.ServiceKey]*service
@@ -107,23 +110,24 @@
 }
 
 const (
-	dialTimeout    = time.Second
-	retryAfterBusy = time.Second
-	defaultCalls   = 8192
-	// learning is how long after its start a daemon may not know yet who serves.
-	learning = 5 * time.Second
+	dialTimeout        = time.Second
+	retryAfterOverload = time.Second
+	defaultMaxCalls    = 8192
+	// learningPeriod is how long after its start a daemon may not have discovered all
+	// servers.
+	learningPeriod = 5 * time.Second
 )
 
 // New returns a Gateway.
 func New(cfg Config, log logr.Logger) *Gateway {
 	if cfg.Observer == nil {
-		cfg.Observer = ignore{}
+		cfg.Observer = noop{}
 	}
 	if cfg.Tracer == nil {
-		cfg.Tracer = ignore{}
+		cfg.Tracer = noop{}
 	}
 	if cfg.Dialect == nil {
-		cfg.Dialect = ownDialect{}
+		cfg.Dialect = defaultDialect{}
 	}
 	if cfg.Origin == nil {
 		cfg.Origin = func() string { return "" }
@@ -139,27 +143,26 @@
 	}
 	cfg.Rollout = cfg.Rollout.withDefaults()
 	if cfg.Calls == 0 {
-		cfg.Calls = defaultCalls
+		cfg.Calls = defaultMaxCalls
 	}
 	return &Gateway{
-		cfg: cfg, log: log, requests: newRequestLog(cfg.RequestLog, cfg.RequestLines), link: newLink(cfg.LinkBytes), held: &holder{most: cfg.HoldBytes}, started: time.Now(), peers: newPeers(), repeats: newRepeatTracker(), shares: share.New(cfg.Calls),
+		cfg: cfg, log: log, requestLog: newRequestLog(cfg.RequestLog, cfg.RequestLines), link: newLink(cfg.LinkBytes), responseBuffer: &responseBuffer{maxBytes: cfg.HoldBytes}, started: time.Now(), peerPools: newPeerPools(), retryTracker: newRetryTracker(), shares: share.New(cfg.Calls),
 		backends: map[string]*backend{}, services: map[snapshot.ServiceKey]*service{},
 	}
 }
 
-func (g *Gateway) place() balance.Place {
+func (g *Gateway) location() balance.Place {
 	return balance.Place{Node: g.cfg.Self, Domain: g.cfg.Domain, Region: g.cfg.Region}
 }
 
-// Leave begins the planned stop: what other daemons pass on is refused as not
-// run, and callers are told to close their connections. What is in progress
-// goes on.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// Leave starts the planned shutdown: requests from other daemons are refused as not run,
+// and callers are asked to close their connections. Requests in progress continue.
+func (g *Gateway) Leave() { g.shuttingDown.Store(true) }
 
-// Close drops idle connections and those of requests that were given up. It is
-// called when nothing is in progress any more.
+// Close closes idle connections and those of abandoned requests. It must be called after
+// the last request has finished.
 func (g *Gateway) Close() {
-	g.peers.close()
+	g.peerPools.close()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, b := range g.backends {
@@ -167,45 +170,46 @@
 	}
 }
 
-// enter counts a call of a mesh in.
-func (g *Gateway) enter(mesh string) bool {
+// acquireShare counts a call against the share of a mesh and reports whether there was
+// room. If so, the caller must call releaseShare.
+func (g *Gateway) acquireShare(mesh string) bool {
 	g.sharesMu.Lock()
 	defer g.sharesMu.Unlock()
 	return g.shares.Enter(mesh)
 }
 
-func (g *Gateway) exit(mesh string) {
+func (g *Gateway) releaseShare(mesh string) {
 	g.sharesMu.Lock()
 	defer g.sharesMu.Unlock()
 	g.shares.Leave(mesh)
 }
 
-// writeRefusal sends a final answer without a run.
+// writeRefusal writes the final response to a request that was refused.
 func writeRefusal(w http.ResponseWriter, r *refusal) {
-	if r.back > 0 {
-		w.Header().Set(headerBack, microseconds(r.back))
+	if r.retryAfter > 0 {
+		w.Header().Set(headerBack, formatMicroseconds(r.retryAfter))
 	}
-	result.WriteHTTPRetry(w, r.Error, r.back)
+	result.WriteHTTPRetry(w, r.Error, r.retryAfter)
 }
 
-// peers are the connections to other daemons, for calls.
-type peers struct {
+// peerPools holds the connection pools to other daemons that carry calls.
+type peerPools struct {
 	mu    sync.RWMutex
 	pools map[string]*upstream.Pool
 }
 
 const (
-	peerIdleMax     = 64
-	peerIdleTimeout = 20 * time.Second
-	// peerSweep is how many further daemons are met between two sweeps of those
-	// that no connection is left to.
-	peerSweep = 256
+	maxIdlePeerConns = 64
+	peerIdleTimeout  = 20 * time.Second
+	// peerSweepInterval is how many pools are added between two sweeps of the pools
+	// without connections.
+	peerSweepInterval = 256
 )
 
-func newPeers() *peers { return &peers{pools: map[string]*upstream.Pool{}} }
+func newPeerPools() *peerPools { return &peerPools{pools: map[string]*upstream.Pool{}} }
 
-// pool returns the connections to the daemon at addr.
-func (p *peers) pool(addr string) *upstream.Pool {
+// pool returns the connection pool of the daemon at addr.
+func (p *peerPools) pool(addr string) *upstream.Pool {
 	p.mu.RLock()
 	pool := p.pools[addr]
 	p.mu.RUnlock()
@@ -217,15 +221,15 @@
 	if pool = p.pools[addr]; pool != nil {
 		return pool
 	}
-	if len(p.pools)%peerSweep == peerSweep-1 {
+	if len(p.pools)%peerSweepInterval == peerSweepInterval-1 {
 		p.sweep()
 	}
-	pool = upstream.NewPool(upstream.Config{Addr: addr, IdleMax: peerIdleMax, IdleTimeout: peerIdleTimeout, DialTimeout: dialTimeout})
+	pool = upstream.NewPool(upstream.Config{Addr: addr, IdleMax: maxIdlePeerConns, IdleTimeout: peerIdleTimeout, DialTimeout: dialTimeout})
 	p.pools[addr] = pool
 	return pool
 }
 
-func (p *peers) sweep() {
+func (p *peerPools) sweep() {
 	for addr, pool := range p.pools {
 		if pool.Total() == 0 {
 			delete(p.pools, addr)
@@ -233,7 +237,7 @@
 	}
 }
 
-func (p *peers) close() {
+func (p *peerPools) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.pools {
--- a/internal/connection/gateway/gateway_test.go
+++ b/internal/connection/gateway/gateway_test.go
@@ -20,15 +20,15 @@
 )
 
 func TestNeverSentTwice(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, runs := rawServer(c, func(n int64, _ *http.Request, conn net.Conn) bool {
 			if n == 1 {
-				return say(conn, okAnswer+"ok")
+				return writeRaw(conn, okAnswer+"ok")
 			}
 			_ = conn.(*net.TCPConn).SetLinger(0) // a crash resets the connection
 			return false
 		})
-		f.place(4, map[int]string{at: addr})
+		f.addServers(4, map[int]string{at: addr})
 		c.Assert(f.do(0, "GET", "/", nil).body, qt.Equals, "ok")
 		a := f.do(0, "GET", "/", nil, "Idempotency-Key", "1")
 		c.Assert(a.outcome, qt.Equals, "unknown", qt.Commentf("%+v", a))
@@ -37,12 +37,12 @@
 }
 
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, _ := rawServer(c, func(_ int64, _ *http.Request, conn net.Conn) bool {
-			say(conn, okAnswer+"ok") // and closes although it did not say so
+			writeRaw(conn, okAnswer+"ok") // and closes without having announced it
 			return false
 		})
-		f.place(4, map[int]string{at: addr})
+		f.addServers(4, map[int]string{at: addr})
 		for range 3 {
 			a := f.do(0, "POST", "/", strings.NewReader("x"))
 			c.Assert(a.body, qt.Equals, "ok", qt.Commentf("%+v", a))
@@ -52,12 +52,12 @@
 }
 
 func TestCrossedAnswerReachesNobodyElse(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, _ := rawServer(c, func(n int64, r *http.Request, conn net.Conn) bool {
 			own := r.URL.Path[1:]
-			return say(conn, okAnswer+own) && say(conn, okAnswer+"xx")
+			return writeRaw(conn, okAnswer+own) && writeRaw(conn, okAnswer+"xx")
 		})
-		f.place(4, map[int]string{at: addr})
+		f.addServers(4, map[int]string{at: addr})
 		for _, own := range []string{"aa", "bb", "cc"} {
 			c.Assert(f.do(0, "GET", "/"+own, nil).body, qt.Equals, own)
 			time.Sleep(10 * time.Millisecond)
@@ -66,7 +66,7 @@
 }
 
 func TestTimeoutCutsNoTransfer(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
 			if r.Method == "POST" {
@@ -74,90 +74,92 @@
 				return
 			}
 			_ = http.NewResponseController(w).Flush()
-			_, _ = io.Copy(w, &slowly{parts: 6})
+			_, _ = io.Copy(w, &slowReader{remaining: 6})
 		}))
 		defer server.Close()
-		f.place(4, map[int]string{at: server.Listener.Addr().String()})
-		down := f.do(0, "GET", "/short", nil)
-		c.Check(down.err, qt.IsNil)
-		c.Check(down.body, qt.Equals, strings.Repeat("part", 6))
-		up := f.do(0, "POST", "/short", &slowly{parts: 6})
-		c.Check(up.body, qt.Equals, "24", qt.Commentf("%+v", up))
+		f.addServers(4, map[int]string{at: server.Listener.Addr().String()})
+		download := f.do(0, "GET", "/short", nil)
+		c.Check(download.err, qt.IsNil)
+		c.Check(download.body, qt.Equals, strings.Repeat("part", 6))
+		upload := f.do(0, "POST", "/short", &slowReader{remaining: 6})
+		c.Check(upload.body, qt.Equals, "24", qt.Commentf("%+v", upload))
 	})
 }
 
 func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, _ := rawServer(c, func(_ int64, _ *http.Request, conn net.Conn) bool {
-			say(conn, "HTTP/1.1 413 Too Large\nContent-Length: 3\n\nbig")
+			writeRaw(conn, "HTTP/1.1 413 Too Large\nContent-Length: 3\n\nbig")
 			time.Sleep(50 * time.Millisecond)
 			return false
 		})
-		f.place(4, map[int]string{at: addr})
-		a := f.do(0, "POST", "/", io.LimitReader(endless{}, 8<<20))
+		f.addServers(4, map[int]string{at: addr})
+		a := f.do(0, "POST", "/", io.LimitReader(endlessReader{}, 8<<20))
 		c.Assert(a.err, qt.IsNil)
 		c.Assert(a.status, qt.Equals, 413)
 		c.Assert(a.body, qt.Equals, "big")
 	})
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestCutAnswersAreSeenAsCut cuts answers of every framing.
+// TestCutAnswersAreSeenAsCut checks that truncated responses of every framing are seen as
+// truncated by the caller.
 func TestCutAnswersAreSeenAsCut(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, _ := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool {
 			switch r.URL.Path {
 			case "/length":
-				say(conn, "HTTP/1.1 200 OK\nContent-Length: 10\n\nshort")
+				writeRaw(conn, "HTTP/1.1 200 OK\nContent-Length: 10\n\nshort")
 			case "/chunked":
-				say(conn, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n5\nshort\n")
+				writeRaw(conn, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n5\nshort\n")
 			case "/reset":
-				say(conn, "HTTP/1.1 200 OK\n\nshort")
+				writeRaw(conn, "HTTP/1.1 200 OK\n\nshort")
 				time.Sleep(20 * time.Millisecond)
 				_ = conn.(*net.TCPConn).SetLinger(0)
 			}
 			return false
 		})
-		f.place(4, map[int]string{at: addr})
+		f.addServers(4, map[int]string{at: addr})
 		for _, path := range []string{"/length", "/chunked", "/reset"} {
 			c.Check(f.do(0, "GET", path, nil).err, qt.IsNotNil, qt.Commentf("%s", path))
 		}
 	})
 }
 
-// TestForms passes the forms of messages through that are easily broken.
+// TestForms checks that unusual forms of messages, which proxies often break, pass
+// through unchanged.
 func TestForms(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		addr, _ := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool {
 			for name := range r.Header {
-				if strings.HasPrefix(name, prefix) && name != "Daisygate-Timeout" && name != "Daisygate-Depth" || name == "X-Hop" {
-					return say(conn, okAnswer+"no")
+				if strings.HasPrefix(name, headerPrefix) && name != "Daisygate-Timeout" && name != "Daisygate-Depth" || name == "X-Hop" {
+					return writeRaw(conn, okAnswer+"no")
 				}
 			}
 			body, _ := io.ReadAll(r.Body)
 			switch r.URL.Path {
 			case "/head":
-				return say(conn, "HTTP/1.1 200 OK\nContent-Length: 7\n\n")
+				return writeRaw(conn, "HTTP/1.1 200 OK\nContent-Length: 7\n\n")
 			case "/204":
-				return say(conn, "HTTP/1.1 204 No Content\n\n")
+				return writeRaw(conn, "HTTP/1.1 204 No Content\n\n")
 			case "/304":
-				return say(conn, "HTTP/1.1 304 Not Modified\nEtag: x\n\n")
+				return writeRaw(conn, "HTTP/1.1 304 Not Modified\nEtag: x\n\n")
 			case "/hints":
-				return say(conn, "HTTP/1.1 103 Early Hints\nLink: x\n\n"+okAnswer+"ok")
+				return writeRaw(conn, "HTTP/1.1 103 Early Hints\nLink: x\n\n"+okAnswer+"ok")
 			case "/trailer":
-				return say(conn, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\nTrailer: Sum\n\n2\n"+r.Trailer.Get("Up")+"\n0\nSum: 1\n\n")
+				return writeRaw(conn, "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\nTrailer: Sum\n\n2\n"+r.Trailer.Get("Up")+"\n0\nSum: 1\n\n")
 			case "/lie":
-				return say(conn, "HTTP/1.1 200 OK\nDaisygate-Result: 212\nDaisygate-Outcome: not-run\nDaisygate-Load: NaN\nContent-Length: 2\n\nok")
+				return writeRaw(conn, "HTTP/1.1 200 OK\nDaisygate-Result: 212\nDaisygate-Outcome: not-run\nDaisygate-Load: NaN\nContent-Length: 2\n\nok")
 			case "/old":
-				say(conn, "HTTP/1.0 200 OK\n\nwhole")
+				writeRaw(conn, "HTTP/1.0 200 OK\n\nwhole")
 				return false
 			}
-			return say(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
+			return writeRaw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
 		})
-		f.place(4, map[int]string{at: addr})
+		f.addServers(4, map[int]string{at: addr})
 		c.Check(f.do(0, "HEAD", "/head", nil).resp.ContentLength, qt.Equals, int64(7))
 		c.Check(f.do(0, "GET", "/204", nil).status, qt.Equals, 204)
 		c.Check(f.do(0, "GET", "/304", nil).resp.Header.Get("Etag"), qt.Equals, "x")
@@ -179,42 +181,43 @@
 	})
 }
 
-// TestLeftCallersWork is cancelled, and keeps its slot until it has ended.
+// TestLeftCallersWork checks that the request of a caller that disconnects is cancelled,
+// and keeps its slot until it has ended.
 func TestLeftCallersWork(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		var running, peak atomic.Int64
-		began, told, end := make(chan bool, 9), make(chan bool, 9), make(chan bool)
+		started, cancelled, finish := make(chan bool, 9), make(chan bool, 9), make(chan bool)
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if n := running.Add(1); n > peak.Load() {
 				peak.Store(n)
 			}
 			defer running.Add(-1)
-			began <- true
+			started <- true
 			if r.URL.Path == "/left" {
 				<-r.Context().Done()
-				told <- true
-				<-end
+				cancelled <- true
+				<-finish
 			}
 		}))
 		defer server.Close()
-		f.place(1, map[int]string{at: server.Listener.Addr().String()})
-		ctx, leave := context.WithCancel(context.Background())
+		f.addServers(1, map[int]string{at: server.Listener.Addr().String()})
+		ctx, cancel := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, "GET", f.callers[0].URL+"/left", nil)
 		c.Assert(err, qt.IsNil)
 		var wait sync.WaitGroup
 		wait.Go(func() { _, _ = http.DefaultClient.Do(req) })
-		<-began
-		leave()
-		<-told
+		<-started
+		cancel()
+		<-cancelled
 		wait.Go(func() { c.Check(f.do(0, "GET", "/next", nil).status, qt.Equals, 200) })
 		time.Sleep(50 * time.Millisecond)
-		close(end)
+		close(finish)
 		wait.Wait()
 		c.Check(peak.Load(), qt.Equals, int64(1))
 	})
 }
 
-// countingListener counts the connections that its server has open.
+// countingListener counts the open connections of its server.
 type countingListener struct {
 	net.Listener
 	open, peak atomic.Int64
@@ -239,22 +242,22 @@
 	return c.Conn.Close()
 }
 
-// TestConnectionsNeverExceeded holds the smaller of slots and connections,
-// whatever a server claims, with callers that leave among the others.
+// TestConnectionsNeverExceeded checks that the smaller of slots and connections is never
+// exceeded, whatever a server announces and even if some callers disconnect.
 func TestConnectionsNeverExceeded(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		counted := &countingListener{Listener: l}
 		server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(5 * time.Millisecond) })}
 		go func() { _ = server.Serve(counted) }()
 		defer func() { _ = server.Close() }()
-		f.announce(at, presence.Server{Mesh: "m", Service: "s", Addr: l.Addr().String(), Slots: 1000, Connections: 3, State: presence.Serving})
+		f.addServer(at, presence.Server{Mesh: "m", Service: "s", Addr: l.Addr().String(), Slots: 1000, Connections: 3, State: presence.Serving})
 		var wait sync.WaitGroup
 		for i := range 100 {
 			wait.Go(func() {
-				ctx, leave := context.WithTimeout(context.Background(), time.Duration(i%4)*5*time.Millisecond+time.Millisecond)
-				defer leave()
+				ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i%4)*5*time.Millisecond+time.Millisecond)
+				defer cancel()
 				req, err := http.NewRequestWithContext(ctx, "GET", f.callers[0].URL+"/again", nil)
 				c.Check(err, qt.IsNil)
 				if resp, err := http.DefaultClient.Do(req); err == nil {
@@ -269,18 +272,19 @@
 	})
 }
 
-// TestRefusedBeforeTheBody sends a stream to another server when the first
-// refuses it, whole; and a leaving daemon takes no new work.
+// TestRefusedBeforeTheBody checks that a streamed request refused by the first server
+// reaches another server complete, and that a daemon that is shutting down accepts no new
+// requests.
 func TestRefusedBeforeTheBody(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 3)
 	echo := func(_ int64, r *http.Request, conn net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
-		return say(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
+		return writeRaw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
 	}
 	one, runsOne := rawServer(c, echo)
 	two, _ := rawServer(c, echo)
-	f.place(4, map[int]string{1: one, 2: two})
+	f.addServers(4, map[int]string{1: one, 2: two})
 	f.gateways[1].Leave()
 	large := bytes.Repeat([]byte("12345678"), 1<<14)
 	for range 8 {
@@ -290,23 +294,23 @@
 	c.Assert(runsOne.Load(), qt.Equals, int64(0))
 }
 
-// TestLoopOfCallsEnds lets a backend server call its own route, passing on the
-// headers that it got: the chain ends at its greatest depth, and no call has
-// more time than the one it belongs to.
+// TestLoopOfCallsEnds has a backend server call its own route with the headers that it
+// received. The chain must end at the maximum depth, and no call may have more time left
+// than the call that made it.
 func TestLoopOfCallsEnds(t *testing.T) {
-	everyHop(t, func(c *qt.C, f *fleetOf, at int) {
+	forLocalAndForwarded(t, func(c *qt.C, f *testFleet, at int) {
 		var runs, last atomic.Int64
 		last.Store(int64(time.Hour))
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			runs.Add(1)
-			left, ok := durationOf(r.Header, HeaderTimeout)
+			left, ok := parseDurationHeader(r.Header, HeaderTimeout)
 			c.Check(ok && int64(left) <= last.Swap(int64(left)), qt.IsTrue)
 			a := f.do(0, "GET", "/again", nil, HeaderDepth, r.Header.Get(HeaderDepth), HeaderTimeout, r.Header.Get(HeaderTimeout))
 			w.WriteHeader(a.status)
 		}))
 		defer server.Close()
-		f.place(2*depthMax, map[int]string{at: server.Listener.Addr().String()})
+		f.addServers(2*maxDepth, map[int]string{at: server.Listener.Addr().String()})
 		c.Assert(f.do(0, "GET", "/again", nil).status, qt.Equals, 400)
-		c.Assert(runs.Load(), qt.Equals, int64(depthMax))
+		c.Assert(runs.Load(), qt.Equals, int64(maxDepth))
 	})
 }
--- a/internal/connection/gateway/headers.go
+++ b/internal/connection/gateway/headers.go
@@ -9,52 +9,53 @@
 	"time"
 )
 
-// The headers of daisygate. Between daemons each travels; of a caller's, only
-// Timeout and Depth count, and only from the same instance: there a backend
-// server may pass on those of the request that it runs.
+// Daisygate's internal headers. Daemons send all of them to each other. From callers only
+// Timeout and Depth are honoured, and only from the same instance, where a backend server
+// may pass on those of the request that it is running.
 const (
-	prefix = "Daisygate-"
-	// HeaderTimeout is the time left up to the header of the answer, in
-	// microseconds: the clocks of instances are not compared. Backend servers
-	// get it; for a body above smallBody it counts from the body's end.
-	HeaderTimeout = prefix + "Timeout"
-	// HeaderDepth is how many backend servers the request came through.
-	// Backend servers get it.
-	HeaderDepth    = prefix + "Depth"
-	headerStall    = prefix + "Stall"
-	headerServer   = prefix + "Server"
-	headerMesh     = prefix + "Mesh"
-	headerService  = prefix + "Service"
-	headerPriority = prefix + "Priority"
-	headerRoute    = prefix + "Route"
-	headerFresh    = prefix + "Fresh"
-	headerAlone    = prefix + "Alone"
-	// headerLoad tells with each answer to a forwarded call how full the server
-	// is: running, waiting, limit, microseconds to an answer, bytes of large
-	// bodies on their way to its instance, share of its requests that fail, bytes of
-	// large answers that have to leave its instance, 1 if callers of all services send on
-	// the route.
-	headerLoad = prefix + "Load"
-	// headerTook is how long the server took for the request, in microseconds; it is told
-	// while a roll-out runs.
-	headerTook = prefix + "Took"
-	// headerUseful is the time left in which the answer is worth most, in
-	// microseconds; it may be past.
-	headerUseful = prefix + "Useful"
-	// headerBack is when to come back after a refusal, in microseconds.
-	headerBack   = prefix + "Back"
-	headerOrigin = prefix + "Origin"
-	// headerRepeat is the probability, 0 to 1, that a request is a repeat: it came to a
-	// server before, or is a call of a run that was a repeat.
-	headerRepeat = prefix + "Repeat"
-	headerFixed  = prefix + "Fixed"
+	headerPrefix = "Daisygate-"
+	// HeaderTimeout is the time left until the response header, in microseconds. It is
+	// relative because the clocks of instances are not compared. It is sent to backend
+	// servers; for a body larger than maxBufferedRequestBody it counts from the end of
+	// the body.
+	HeaderTimeout = headerPrefix + "Timeout"
+	// HeaderDepth is the number of backend servers that the request has passed through.
+	// It is sent to backend servers.
+	HeaderDepth    = headerPrefix + "Depth"
+	headerStall    = headerPrefix + "Stall"
+	headerServer   = headerPrefix + "Server"
+	headerMesh     = headerPrefix + "Mesh"
+	headerService  = headerPrefix + "Service"
+	headerPriority = headerPrefix + "Priority"
+	headerRoute    = headerPrefix + "Route"
+	headerFresh    = headerPrefix + "Fresh"
+	headerAlone    = headerPrefix + "Alone"
+	// headerLoad reports the server's load with each response to a forwarded call:
+	// running requests, queued requests, limit, microseconds per response, bytes of large
+	// bodies being sent to its instance, share of its requests that fail, bytes of large
+	// responses waiting to leave its instance, and 1 if callers of all services use the
+	// route.
+	headerLoad = headerPrefix + "Load"
+	// headerTook is the server's processing time in microseconds. It is sent while a
+	// rollout is running.
+	headerTook = headerPrefix + "Took"
+	// headerUseful is the time left until the response loses most of its value, in
+	// microseconds; it may be negative.
+	headerUseful = headerPrefix + "Useful"
+	// headerBack is when to retry after a refusal, in microseconds.
+	headerBack   = headerPrefix + "Back"
+	headerOrigin = headerPrefix + "Origin"
+	// headerRepeat is the probability (0 to 1) that a request is a retry: it was sent to
+	// a server before, or was made by a run that was a retry.
+	headerRepeat = headerPrefix + "Repeat"
+	headerFixed  = headerPrefix + "Fixed"
 )
 
-// depthMax is the deepest chain of calls; a deeper one is taken for a loop.
-const depthMax = 32
+// maxDepth is the maximum depth of nested calls; a deeper call is considered a loop.
+const maxDepth = 32
 
-// isHopByHop reports the connection's own headers (RFC 9110, section 7.6.1) and
-// those that frame a message.
+// isHopByHop reports whether name is a hop-by-hop header (RFC 9110, section 7.6.1) or one
+// that frames a message.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
@@ -64,23 +65,23 @@
 	return false
 }
 
-// skipped returns which headers of h are not sent on: hop-by-hop headers, those
-// of daisygate, those that the client frames itself, and what the message's own
-// Connection header names.
-func skipped(h http.Header) func(name string) bool {
-	named := connectionNames(h)
+// skipHeader returns a function that reports which headers of h are not forwarded:
+// hop-by-hop headers, internal headers, headers that the HTTP client sets itself, and
+// those listed in the Connection header.
+func skipHeader(h http.Header) func(name string) bool {
+	options := connectionOptions(h)
 	return func(name string) bool {
 		switch name {
 		case "Host", "Content-Length", "Expect":
 			return true
 		}
-		return isHopByHop(name) || strings.HasPrefix(name, prefix) || named[name]
+		return isHopByHop(name) || strings.HasPrefix(name, headerPrefix) || options[name]
 	}
 }
 
-// connectionNames are the headers that the Connection header names; nil for
-// none.
-func connectionNames(h http.Header) map[string]bool {
+// connectionOptions returns the header names listed in the Connection header, or nil if
+// there are none.
+func connectionOptions(h http.Header) map[string]bool {
 	var names map[string]bool
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -93,32 +94,32 @@
 	return names
 }
 
-// copyHeader puts an answer's header into dst, without hop-by-hop headers and
-// those of daisygate. The values are shared.
+// copyHeader copies a response header into dst, without hop-by-hop and internal headers.
+// The value slices are shared.
 func copyHeader(dst, src http.Header) {
-	named := connectionNames(src)
+	options := connectionOptions(src)
 	for name, values := range src {
-		if !isHopByHop(name) && !strings.HasPrefix(name, prefix) && !named[name] {
+		if !isHopByHop(name) && !strings.HasPrefix(name, headerPrefix) && !options[name] {
 			dst[name] = values
 		}
 	}
 }
 
-func microseconds(d time.Duration) string {
+func formatMicroseconds(d time.Duration) string {
 	return strconv.FormatInt(max(1, d.Microseconds()), 10)
 }
 
-func durationOf(h http.Header, name string) (time.Duration, bool) {
+func parseDurationHeader(h http.Header, name string) (time.Duration, bool) {
 	values := h[name]
 	if len(values) == 0 {
 		return 0, false
 	}
 	n, err := strconv.ParseInt(values[0], 10, 64)
-	const most = int64(24 * time.Hour / time.Microsecond)
-	return time.Duration(n) * time.Microsecond, err == nil && n > 0 && n <= most
+	const maxMicros = int64(24 * time.Hour / time.Microsecond)
+	return time.Duration(n) * time.Microsecond, err == nil && n > 0 && n <= maxMicros
 }
 
-func numberOf(h http.Header, name string) (int, bool) {
+func parseIntHeader(h http.Header, name string) (int, bool) {
 	values := h[name]
 	if len(values) == 0 {
 		return 0, false
@@ -144,18 +145,19 @@
 	return err == nil && host == remote
 }
 
-// nesting reads what a backend server passed on with a call of its own.
-func nesting(r *http.Request) (depth int, timeout time.Duration) {
+// nestedCall returns the depth and the remaining time that a backend server passed on
+// with a call of its own.
+func nestedCall(r *http.Request) (depth int, timeout time.Duration) {
 	if !sameInstance(r) {
 		return 0, 0
 	}
-	depth, _ = numberOf(r.Header, HeaderDepth)
-	timeout, _ = durationOf(r.Header, HeaderTimeout)
+	depth, _ = parseIntHeader(r.Header, HeaderDepth)
+	timeout, _ = parseDurationHeader(r.Header, HeaderTimeout)
 	return depth, timeout
 }
 
-// target is the request target in origin form.
-func target(r *http.Request) string {
+// requestTarget returns the request target in origin form.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
--- a/internal/connection/gateway/hold.go
+++ b/internal/connection/gateway/hold.go
@@ -11,84 +11,84 @@
 	"github.com/cockroachdb/errors"
 )
 
-// holdGuess is the first buffer for an answer whose length is not told.
-const holdGuess = 4 << 10
+// initialBufferSize is the first buffer size for a response of unknown length.
+const initialBufferSize = 4 << 10
 
-// holdTotal is the most bytes of answers that a daemon holds at a time: a sixth of
-// the memory of a small instance. Beyond it answers stream.
-const holdTotal = 32 << 20
+// maxBufferedTotal bounds the bytes of responses that a daemon buffers at a time: a sixth
+// of the memory of a small instance. Beyond it responses are streamed.
+const maxBufferedTotal = 32 << 20
 
-// holder bounds the answers that are held.
-type holder struct {
-	// most is the largest answer that is held, in bytes; 0 holds none.
-	most int64
-	// total is the bytes held now.
-	total atomic.Int64
+// responseBuffer limits the responses that are buffered.
+type responseBuffer struct {
+	// maxBytes is the size of the largest buffered response; 0 disables buffering.
+	maxBytes int64
+	// totalBytes is the number of bytes buffered now.
+	totalBytes atomic.Int64
 }
 
-// hold reads an answer of at most that many bytes whole before any of it is
-// passed on: one that is cut is found in time to ask another backend server, or
-// to answer with a failure instead of a part. Larger answers stream. An error
-// means that it was cut; the body is closed then. Afterwards the slot and the
-// connection of a held answer are free.
-func (h *holder) hold(resp *http.Response) error {
-	if h.most <= 0 || resp.ContentLength > h.most || h.total.Load() > holdTotal {
+// bufferResponse reads a response of at most maxBytes completely before any of it is
+// passed on: a truncated response is detected in time to try another backend server, or
+// to report a failure instead of sending a part. Larger responses are streamed. An error
+// means that the response was truncated; its body is then closed. Once a response is
+// buffered, its slot and connection are free.
+func (b *responseBuffer) bufferResponse(resp *http.Response) error {
+	if b.maxBytes <= 0 || resp.ContentLength > b.maxBytes || b.totalBytes.Load() > maxBufferedTotal {
 		return nil
 	}
-	most, size := h.most, resp.ContentLength
+	maxBytes, size := b.maxBytes, resp.ContentLength
 	if size < 0 {
-		size = holdGuess
+		size = initialBufferSize
 	}
 	buffer := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
-	_, err := buffer.ReadFrom(io.LimitReader(resp.Body, most+1))
+	_, err := buffer.ReadFrom(io.LimitReader(resp.Body, maxBytes+1))
 	switch {
 	case err != nil:
 		_ = resp.Body.Close()
-		return errors.Wrap(err, "read answer")
-	case int64(buffer.Len()) > most:
-		resp.Body = &prefixed{Reader: io.MultiReader(buffer, resp.Body), Closer: resp.Body}
+		return errors.Wrap(err, "read response")
+	case int64(buffer.Len()) > maxBytes:
+		resp.Body = &prefixedBody{Reader: io.MultiReader(buffer, resp.Body), Closer: resp.Body}
 		return nil
 	}
 	if err := resp.Body.Close(); err != nil {
-		return errors.Wrap(err, "close answer")
+		return errors.Wrap(err, "close response")
 	}
 	if resp.ContentLength < 0 && bodyAllowed(resp) {
 		resp.ContentLength = int64(buffer.Len())
 		resp.Header.Set("Content-Length", strconv.Itoa(buffer.Len()))
 	}
-	resp.Body = newHeld(h, buffer)
+	resp.Body = newBufferedBody(b, buffer)
 	return nil
 }
 
-// bodyAllowed reports whether an answer's length may be told by its body.
+// bodyAllowed reports whether the response's length may be set from its body.
 func bodyAllowed(resp *http.Response) bool {
 	head := resp.Request != nil && resp.Request.Method == http.MethodHead
 	return !head && resp.StatusCode != http.StatusNoContent && resp.StatusCode != http.StatusNotModified
 }
 
-// held is the body of an answer that was read whole.
-type held struct {
+// bufferedBody is the body of a response that was read completely.
+type bufferedBody struct {
 	*bytes.Buffer
-	free func()
+	release func()
 }
 
-func newHeld(h *holder, buffer *bytes.Buffer) *held {
+func newBufferedBody(b *responseBuffer, buffer *bytes.Buffer) *bufferedBody {
 	size := int64(buffer.Cap())
-	h.total.Add(size)
-	return &held{Buffer: buffer, free: sync.OnceFunc(func() { h.total.Add(-size) })}
+	b.totalBytes.Add(size)
+	return &bufferedBody{Buffer: buffer, release: sync.OnceFunc(func() { b.totalBytes.Add(-size) })}
 }
 
 // Close implements io.Closer.
-func (h *held) Close() error {
-	h.free()
+func (b *bufferedBody) Close() error {
+	b.release()
 	return nil
 }
 
-// Buffered implements buffered.
-func (h *held) Buffered() bool { return h.Len() > 0 }
+// Buffered implements bufferedReader.
+func (b *bufferedBody) Buffered() bool { return b.Len() > 0 }
 
-// prefixed is a body of which a part was read.
-type prefixed struct {
+// prefixedBody is a body of which the first part has been read already.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
--- a/internal/connection/gateway/link.go
+++ b/internal/connection/gateway/link.go
@@ -11,71 +11,76 @@
 )
 
 const (
-	// bodiesAtATime is how many large bodies come in over the link together. One uses
-	// the link up: a caller's own link is none, its instance has the body. With two,
-	// small requests wait longer for the same uploads.
-	bodiesAtATime = 1
-	// answersAtATime is how many large answers leave together: where one reader is
-	// slow, the other goes on.
-	answersAtATime = 2
-	// briefBody is how long a body may take the link and go past the others: waiting
-	// for a turn would cost it more.
-	briefBody = 20 * time.Millisecond
-	// inflowShare and outflowShare are the parts of the time to the target within
-	// which a body has to be here and the request be answered, and an answer has to
-	// be through; the rest is for what goes otherwise.
-	inflowShare  = 0.6
-	outflowShare = 0.8
-	// outflowPart is the part of the link's rate that calls take: the rest is for
-	// control and for what packets cost besides. On a full link small messages stand
-	// behind the large ones. standing is what may wait in front of the link.
-	outflowPart = 0.88
-	standing    = 10 * time.Millisecond
-	// turnMost is how long the reader of an answer may take nothing before the answer
-	// loses its turn: many times what a part of it takes. A daemon that is frozen or cut
-	// off reads nothing for seconds, and its connections show no sign of it.
-	turnMost = 150 * time.Millisecond
-	// messageBytes is what a message between daemons takes besides its body.
-	messageBytes = 600
+	// maxInboundTransfers is the number of large bodies received at the same time. One is
+	// enough to fill the link: the caller is on the sending daemon's instance, so no link
+	// of its own slows the body down. With two, small requests wait longer for the same
+	// uploads.
+	maxInboundTransfers = 1
+	// maxOutboundTransfers is the number of large responses sent at the same time: if one
+	// reader is slow, the other continues.
+	maxOutboundTransfers = 2
+	// shortTransferTime is the transfer time up to which a body does not queue: waiting
+	// for its turn would take longer.
+	shortTransferTime = 20 * time.Millisecond
+	// inboundTimeShare and outboundTimeShare are fractions of the time left until the
+	// target. Within the first, a body must have arrived and its request have been
+	// answered; within the second, a response must have been sent. The rest is for
+	// everything else.
+	inboundTimeShare  = 0.6
+	outboundTimeShare = 0.8
+	// outboundRateShare is the fraction of the link's rate used for calls. The rest is
+	// for control traffic and packet overhead: on a saturated link small messages queue
+	// behind the large ones. maxLinkBacklog is how much data, as time at the link's rate,
+	// may queue in front of the link.
+	outboundRateShare = 0.88
+	maxLinkBacklog    = 10 * time.Millisecond
+	// stalledWriteTimeout is how long the reader of a response may read nothing before
+	// the response loses its turn; a part normally takes a small fraction of it. A daemon
+	// that is frozen or partitioned reads nothing for seconds, and its connections do not
+	// show it.
+	stalledWriteTimeout = 150 * time.Millisecond
+	// messageOverheadBytes is the size of a message between daemons without its body.
+	messageOverheadBytes = 600
 )
 
-// link is the instance's link, as far as large bodies share it: requests for the
-// servers beside this daemon come in, and their answers go out.
+// link schedules large bodies on the instance's link: requests to the servers of this
+// instance come in, and their responses go out.
 type link struct {
-	in, out *direction
-	// lengths are those of the answers by route: of the servers beside this daemon and
-	// of those that it asked.
-	lengths corelink.Lengths
+	inbound, outbound *linkDirection
+	// responseLengths are the response lengths by route, both of the servers on this
+	// instance and of those that this daemon has called.
+	responseLengths corelink.Lengths
 }
 
-// newLink returns a link of so many bytes a second each way; 0 is not known.
+// newLink returns a link with the given rate in bytes per second in each direction; 0
+// means unknown.
 func newLink(rate float64) *link {
 	return &link{
-		in:  newDirection(rate, bodiesAtATime, corelink.InOrder),
-		out: newDirection(outflowPart*rate, answersAtATime, corelink.ShortestFirst),
+		inbound:  newLinkDirection(rate, maxInboundTransfers, corelink.InOrder),
+		outbound: newLinkDirection(outboundRateShare*rate, maxOutboundTransfers, corelink.ShortestFirst),
 	}
 }
 
-// direction is one way over the link.
-type direction struct {
+// linkDirection is one direction of the link.
+type linkDirection struct {
 	mu sync.Mutex
-	// core is nil where the link's rate is not known.
+	// core is nil if the link's rate is unknown.
 	core    *corelink.Core
 	waiting map[uint64]chan struct{}
-	// through is when all that was let go is through, at the link's rate.
-	through time.Time
+	// drainedAt is when everything sent so far will have passed the link at its rate.
+	drainedAt time.Time
 }
 
-func newDirection(rate float64, most int, order corelink.Order) *direction {
-	d := &direction{waiting: map[uint64]chan struct{}{}}
+func newLinkDirection(rate float64, maxConcurrent int, order corelink.Order) *linkDirection {
+	d := &linkDirection{waiting: map[uint64]chan struct{}{}}
 	if rate > 0 {
-		d.core = corelink.New(rate, most, order)
+		d.core = corelink.New(rate, maxConcurrent, order)
 	}
 	return d
 }
 
-// ahead is the bytes that a new body may have to wait for.
-func (d *direction) ahead() int64 {
+// queuedBytes returns the number of bytes that a new body may have to wait for.
+func (d *linkDirection) queuedBytes() int64 {
 	if d.core == nil {
 		return 0
 	}
@@ -84,57 +89,59 @@
 	return d.core.Ahead()
 }
 
-// long reports whether a body of so many bytes, -1 if they are not told, takes the
-// link for long.
-func (d *direction) long(bytes int64) bool {
-	return d.core != nil && d.core.Takes(bytes) > briefBody
+// isLarge reports whether a body of the given length, or -1 if unknown, occupies the link
+// for longer than shortTransferTime.
+func (d *linkDirection) isLarge(bytes int64) bool {
+	return d.core != nil && d.core.Takes(bytes) > shortTransferTime
 }
 
-// arrive takes in a body. turn is nil if it may go at once, else closed when it may.
-func (d *direction) arrive(bytes int64) (id uint64, turn chan struct{}) {
+// add registers a body. granted is nil if the body may be sent immediately; otherwise it
+// is closed when the body may be sent.
+func (d *linkDirection) add(bytes int64) (id uint64, granted chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, now := d.core.Arrive(bytes)
-	if !now {
-		turn = make(chan struct{})
-		d.waiting[id] = turn
+	id, immediate := d.core.Arrive(bytes)
+	if !immediate {
+		granted = make(chan struct{})
+		d.waiting[id] = granted
 	}
-	return id, turn
+	return id, granted
 }
 
-// went tells that a part of a body is through. turn is nil if it goes on, else
-// closed when it may again.
-func (d *direction) went(id uint64, n int) (turn chan struct{}) {
+// recordSent records that n bytes of a body have been sent. granted is nil if the body
+// may continue; otherwise it is closed when it may.
+func (d *linkDirection) recordSent(id uint64, n int) (granted chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	goesOn, instead := d.core.Went(id, n)
-	if goesOn {
+	continues, next := d.core.Went(id, n)
+	if continues {
 		return nil
 	}
-	turn = make(chan struct{})
-	d.waiting[id] = turn
-	d.start(instead)
-	return turn
+	granted = make(chan struct{})
+	d.waiting[id] = granted
+	d.grant(next)
+	return granted
 }
 
-func (d *direction) leave(id uint64) {
+func (d *linkDirection) remove(id uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.waiting, id)
 	for _, started := range d.core.Leave(id) {
-		d.start(started)
+		d.grant(started)
 	}
 }
 
-func (d *direction) start(id uint64) {
-	if turn := d.waiting[id]; turn != nil {
-		close(turn)
+func (d *linkDirection) grant(id uint64) {
+	if granted := d.waiting[id]; granted != nil {
+		close(granted)
 		delete(d.waiting, id)
 	}
 }
 
-// expect tells of a body to come, and by a length below 0 that it came or will not.
-func (d *direction) expect(bytes int64) {
+// reserve announces a body that will be sent later. A negative length cancels the
+// reservation once the body has started or will not be sent.
+func (d *linkDirection) reserve(bytes int64) {
 	if d.core == nil || bytes == 0 {
 		return
 	}
@@ -143,140 +150,141 @@
 	d.core.Expect(bytes)
 }
 
-// pace returns how long to wait before n more bytes go, so that no more than
-// standing of them waits in front of the link.
-func (d *direction) pace(now time.Time, n int) time.Duration {
+// pacingDelay returns how long to wait before sending n more bytes, so that at most
+// maxLinkBacklog queues in front of the link.
+func (d *linkDirection) pacingDelay(now time.Time, n int) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.through.Before(now) {
-		d.through = now
+	if d.drainedAt.Before(now) {
+		d.drainedAt = now
 	}
-	wait := d.through.Sub(now) - standing
-	d.through = d.through.Add(d.core.Takes(int64(n)))
+	wait := d.drainedAt.Sub(now) - maxLinkBacklog
+	d.drainedAt = d.drainedAt.Add(d.core.Takes(int64(n)))
 	return wait
 }
 
-// passes counts a small message with a body of n bytes, which does not wait: large
-// ones wait for it instead.
-func (d *direction) passes(n int64) {
+// recordSmallMessage accounts for a small message with a body of n bytes. It is not
+// delayed; large transfers wait for it instead.
+func (d *linkDirection) recordSmallMessage(n int64) {
 	if d.core != nil {
-		d.pace(time.Now(), int(max(n, 0))+messageBytes)
+		d.pacingDelay(time.Now(), int(max(n, 0))+messageOverheadBytes)
 	}
 }
 
-// shares reports whether a request's body has to share the link with others: it
-// comes from another daemon and takes the link for long.
-func (l *link) shares(k *work) bool {
-	return k.remote && k.body.stream && l.in.long(k.body.length())
+// schedulesBody reports whether a request's body has to be scheduled on the link: it
+// comes from another daemon and takes long to transfer.
+func (l *link) schedulesBody(req *backendRequest) bool {
+	return req.remote && req.body.streamed && l.inbound.isLarge(req.body.contentLength())
 }
 
-// large is the length of a body that takes a link for long, 0 of others or where it
-// is not told.
-func (l *link) large(b *requestBody) int64 {
-	if !b.stream || !l.in.long(b.length()) {
+// largeBodyLength returns the length of a body that takes long to transfer. It returns 0
+// for other bodies and for unknown lengths.
+func (l *link) largeBodyLength(b *requestBody) int64 {
+	if !b.streamed || !l.inbound.isLarge(b.contentLength()) {
 		return 0
 	}
-	return max(0, b.length())
+	return max(0, b.contentLength())
 }
 
-// largeAnswer is the usual length of the answers of a route if they take a link for
-// long, else 0.
-func (l *link) largeAnswer(route string) int64 {
-	if l.out.core == nil {
+// expectedLargeResponse returns the usual response length of a route if such a response
+// takes long to transfer, otherwise 0.
+func (l *link) expectedLargeResponse(route string) int64 {
+	if l.outbound.core == nil {
 		return 0
 	}
-	if usual := l.lengths.Usual(route); l.out.long(usual) {
-		return usual
+	if typicalLength := l.responseLengths.Usual(route); l.outbound.isLarge(typicalLength) {
+		return typicalLength
 	}
 	return 0
 }
 
-// enter waits until the body of a request may come; usual is how long the request
-// takes from then to its answer. The body leaves by itself at its end.
-func (l *link) enter(ctx context.Context, k *work, usual time.Duration) *refusal {
-	in := l.in
-	in.mu.Lock()
-	wait := in.core.Wait()
-	in.mu.Unlock()
+// admitBody waits until the body of a request may be received. typicalTime is the usual
+// time from then to the response. The body is unregistered automatically at its end.
+func (l *link) admitBody(ctx context.Context, req *backendRequest, typicalTime time.Duration) *refusal {
+	inbound := l.inbound
+	inbound.mu.Lock()
+	wait := inbound.core.Wait()
+	inbound.mu.Unlock()
 	if wait > 0 {
-		if late := k.late(wait+usual, inflowShare); late > 0 {
-			return &refusal{Error: result.Errorf(result.Overloaded, "the link is full: the body is expected in %s", wait), back: late}
+		if late := req.lateness(wait+typicalTime, inboundTimeShare); late > 0 {
+			return &refusal{Error: result.Errorf(result.Overloaded, "the link is saturated: the request body is expected to start in %s", wait), retryAfter: late}
 		}
 	}
-	id, turn := in.arrive(k.body.length())
-	k.body.counts(func(n int) { in.went(id, n) }, func() { in.leave(id) })
-	if turn == nil {
+	id, granted := inbound.add(req.body.contentLength())
+	req.body.setCallbacks(func(n int) { inbound.recordSent(id, n) }, func() { inbound.remove(id) })
+	if granted == nil {
 		return nil
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		k.body.leave()
-		code := whyEnded(ctx)
-		return refuse(code, fmt.Sprintf("%s The body waited for the link.", code.Meaning()))
+		req.body.finish()
+		code := contextEndCode(ctx)
+		return newRefusal(code, fmt.Sprintf("%s The request body was waiting for the link.", code.Meaning()))
 	}
 }
 
-// late is by how much an answer that is expected after some time misses a share of
-// the time to the target; 0 or less if it does not, or the target is not known.
-func (k *work) late(after time.Duration, share float64) time.Duration {
-	if k.useful.IsZero() {
+// lateness returns by how much a response expected after the given time exceeds a share
+// of the time left until the target. It is 0 or less if it does not, or if the target is
+// unknown.
+func (req *backendRequest) lateness(expected time.Duration, share float64) time.Duration {
+	if req.usefulUntil.IsZero() {
 		return 0
 	}
-	return after - time.Duration(share*float64(time.Until(k.useful)))
+	return expected - time.Duration(share*float64(time.Until(req.usefulUntil)))
 }
 
-// admitAnswer refuses a request whose answer is not expected to be through the link
-// in time; usual is how long the request runs. Answers to this instance's own
-// callers take no link. With nil the caller must call the function returned when
-// the answer begins to leave, or will not.
-func (l *link) admitAnswer(k *work, usual time.Duration) (begun func(), refused *refusal) {
-	bytes := l.largeAnswer(k.route)
-	if !k.remote || bytes == 0 {
+// admitResponse refuses a request whose response is not expected to be sent over the link
+// in time. typicalTime is the usual duration of the request. Responses to callers of this
+// instance do not use the link. If refused is nil, the caller must call release when the
+// response starts to be sent or will not be sent.
+func (l *link) admitResponse(req *backendRequest, typicalTime time.Duration) (release func(), refused *refusal) {
+	bytes := l.expectedLargeResponse(req.route)
+	if !req.remote || bytes == 0 {
 		return func() {}, nil
 	}
-	ahead := l.out.ahead()
-	leaves := max(usual, l.out.core.Takes(ahead))
-	if late := k.late(leaves+l.out.core.Takes(bytes), outflowShare); ahead > 0 && late > 0 {
-		return nil, &refusal{Error: result.Errorf(result.Overloaded, "the link is full: the answer is expected to leave in %s", leaves), back: late}
+	queued := l.outbound.queuedBytes()
+	startsIn := max(typicalTime, l.outbound.core.Takes(queued))
+	if late := req.lateness(startsIn+l.outbound.core.Takes(bytes), outboundTimeShare); queued > 0 && late > 0 {
+		return nil, &refusal{Error: result.Errorf(result.Overloaded, "the link is saturated: the response is expected to start in %s", startsIn), retryAfter: late}
 	}
-	l.out.expect(bytes)
-	return sync.OnceFunc(func() { l.out.expect(-bytes) }), nil
+	l.outbound.reserve(bytes)
+	return sync.OnceFunc(func() { l.outbound.reserve(-bytes) }), nil
 }
 
-// departure is a large answer on its way out over the link. A nil one takes the link
-// for too short to wait.
-type departure struct {
-	out  *direction
-	id   uint64
-	turn chan struct{}
+// responseTransfer is a large response being sent over the link. It is nil for a response
+// too short to be scheduled.
+type responseTransfer struct {
+	outbound *linkDirection
+	id       uint64
+	granted  chan struct{}
 }
 
-// depart takes in an answer of so many bytes, -1 if they are not told.
-func (l *link) depart(bytes int64) *departure {
-	if !l.out.long(bytes) {
-		l.out.passes(bytes)
+// startTransfer registers a response of the given length, or -1 if unknown.
+func (l *link) startTransfer(bytes int64) *responseTransfer {
+	if !l.outbound.isLarge(bytes) {
+		l.outbound.recordSmallMessage(bytes)
 		return nil
 	}
-	id, turn := l.out.arrive(bytes)
-	return &departure{out: l.out, id: id, turn: turn}
+	id, granted := l.outbound.add(bytes)
+	return &responseTransfer{outbound: l.outbound, id: id, granted: granted}
 }
 
-// wait returns when n more bytes may go.
-func (d *departure) wait(ctx context.Context, n int) error {
-	if d == nil || n == 0 {
+// waitToSend returns when n more bytes may be sent.
+func (t *responseTransfer) waitToSend(ctx context.Context, n int) error {
+	if t == nil || n == 0 {
 		return nil
 	}
-	if d.turn != nil {
+	if t.granted != nil {
 		select {
-		case <-d.turn:
-			d.turn = nil
+		case <-t.granted:
+			t.granted = nil
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 	}
-	wait := d.out.pace(time.Now(), n)
+	wait := t.outbound.pacingDelay(time.Now(), n)
 	if wait <= 0 {
 		return nil
 	}
@@ -288,23 +296,24 @@
 	}
 }
 
-// send has a part of n bytes written. While it is not taken, the others go on.
-func (d *departure) send(n int, write func() error) error {
-	if d == nil || n == 0 {
+// sendPart calls write to send a part of n bytes. If the reader does not accept the part
+// in time, other transfers continue.
+func (t *responseTransfer) sendPart(n int, write func() error) error {
+	if t == nil || n == 0 {
 		return write()
 	}
-	stalled := time.AfterFunc(turnMost, d.end)
+	stallTimer := time.AfterFunc(stalledWriteTimeout, t.finish)
 	err := write()
-	// Once the turn was lost there is none to wait for again.
-	if stalled.Stop() && err == nil {
-		d.turn = d.out.went(d.id, n)
+	// A transfer that lost its turn to the timer has none to wait for again.
+	if stallTimer.Stop() && err == nil {
+		t.granted = t.outbound.recordSent(t.id, n)
 	}
 	return err
 }
 
-// end gives the turn up; what still goes is only paced.
-func (d *departure) end() {
-	if d != nil {
-		d.out.leave(d.id)
+// finish gives up the turn. Anything sent afterwards is only paced.
+func (t *responseTransfer) finish() {
+	if t != nil {
+		t.outbound.remove(t.id)
 	}
 }
--- a/internal/connection/gateway/link_test.go
+++ b/internal/connection/gateway/link_test.go
@@ -14,142 +14,144 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// heldBody yields its text once it is opened, and tells when it is first read.
-type heldBody struct {
-	begun, open chan struct{}
-	text        io.Reader
-	once        bool
+// gatedBody blocks its first read until release is closed, and closes readStarted at that
+// read.
+type gatedBody struct {
+	readStarted, release chan struct{}
+	content              io.Reader
+	started              bool
 }
 
-func newHeldBody(size int) *heldBody {
-	return &heldBody{begun: make(chan struct{}), open: make(chan struct{}), text: strings.NewReader(strings.Repeat("x", size))}
+func newGatedBody(size int) *gatedBody {
+	return &gatedBody{readStarted: make(chan struct{}), release: make(chan struct{}), content: strings.NewReader(strings.Repeat("x", size))}
 }
 
-func (h *heldBody) Read(p []byte) (int, error) {
-	if !h.once {
-		h.once = true
-		close(h.begun)
-		<-h.open
+func (b *gatedBody) Read(p []byte) (int, error) {
+	if !b.started {
+		b.started = true
+		close(b.readStarted)
+		<-b.release
 	}
-	return h.text.Read(p)
+	return b.content.Read(p)
 }
 
-// TestBodiesTakeTurns holds that of two large bodies for a server beside another
-// daemon the second is asked for when the first has come, and that a body whose
-// caller leaves while it waits gives its turn up.
+// TestBodiesTakeTurns checks that of two large bodies for a server on another instance,
+// the second is requested only when the first has arrived, and that a body whose caller
+// disconnects while it waits gives up its turn.
 func TestBodiesTakeTurns(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 2)
 	f.gateways[1].link = newLink(1 << 20)
 	addr, runs := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
-		return say(conn, okAnswer+"ok")
+		return writeRaw(conn, okAnswer+"ok")
 	})
-	f.place(4, map[int]string{1: addr})
-	const size = 200 << 10 // 0.2 s of the link
-	first, done := newHeldBody(size), make(chan answer, 2)
+	f.addServers(4, map[int]string{1: addr})
+	const size = 200 << 10 // 0.2 s at the link's rate
+	first, done := newGatedBody(size), make(chan callResult, 2)
 	go func() { done <- f.do(0, "POST", "/first", first) }()
-	<-first.begun
-	for f.gateways[1].link.in.ahead() == 0 {
+	<-first.readStarted
+	for f.gateways[1].link.inbound.queuedBytes() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	left := make(chan struct{})
+	abandoned := make(chan struct{})
 	go func() {
 		client := &http.Client{Timeout: 50 * time.Millisecond, Transport: &http.Transport{}}
 		_, _ = client.Post(f.callers[0].URL+"/left", "text/plain", strings.NewReader(strings.Repeat("y", size)))
-		close(left)
+		close(abandoned)
 	}()
-	<-left
+	<-abandoned
 	go func() { done <- f.do(0, "POST", "/second", strings.NewReader(strings.Repeat("z", size))) }()
-	for f.gateways[1].link.in.ahead() < 2*size-(64<<10) {
+	for f.gateways[1].link.inbound.queuedBytes() < 2*size-(64<<10) {
 		time.Sleep(time.Millisecond)
 	}
 	c.Check(runs.Load() <= 1, qt.IsTrue)
-	close(first.open)
+	close(first.release)
 	c.Check((<-done).body, qt.Equals, "ok")
 	c.Check((<-done).body, qt.Equals, "ok")
-	for f.gateways[1].link.in.ahead() != 0 {
+	for f.gateways[1].link.inbound.queuedBytes() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// downloads announces a server beside the second of two daemons, whose answers to
-// /again are so long and all others short; the link beside it takes rate bytes a
-// second.
-func downloads(c *qt.C, rate float64, bytes int) *fleetOf {
+// newDownloadFleet adds a server to the second of two daemons. Its responses to /again
+// have the given length and all others are short. The link of its instance carries rate
+// bytes per second.
+func newDownloadFleet(c *qt.C, rate float64, bytes int) *testFleet {
 	f := newFleet(c, 2)
 	f.gateways[1].link = newLink(rate)
-	f.gateways[1].held.most = 1 << 20
+	f.gateways[1].responseBuffer.maxBytes = 1 << 20
 	addr, _ := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool {
 		body := "ok"
 		if r.URL.Path == "/again" {
 			body = strings.Repeat("x", bytes)
 		}
-		return say(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
+		return writeRaw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nContent-Length: %d\n\n%s", len(body), body))
 	})
-	f.place(50, map[int]string{1: addr})
+	f.addServers(50, map[int]string{1: addr})
 	return f
 }
 
-// TestAnswersLeaveInTurn saturates a thin link with large answers: they leave at the
-// link's rate, hold no slot meanwhile, and a short answer passes them.
+// TestAnswersLeaveInTurn saturates a slow link with large responses. They must leave at
+// the link's rate and hold no slot meanwhile, and a short response must overtake them.
 func TestAnswersLeaveInTurn(t *testing.T) {
 	c := qt.New(t)
-	const rate, bytes, many = 2 << 20, 200 << 10, 4 // about 0.1 s of the link each
-	f := downloads(c, rate, bytes)
-	done := make(chan answer, many)
+	const rate, bytes, many = 2 << 20, 200 << 10, 4 // about 0.1 s each at the link's rate
+	f := newDownloadFleet(c, rate, bytes)
+	done := make(chan callResult, many)
 	for range many {
 		go func() { done <- f.do(0, "GET", "/again", nil) }()
 	}
-	out := f.gateways[1].link.out
+	out := f.gateways[1].link.outbound
 	running := func() int {
 		load, _ := f.gateways[1].LocalLoad(f.records[1].Servers[0].Addr)
 		return load.Running
 	}
-	// All answers are here and the slots free, while most of them have yet to leave.
-	for out.ahead() < (many-2)*bytes || running() > 0 {
+	// Wait until all responses are buffered and the slots free, with most responses still
+	// to be sent.
+	for out.queuedBytes() < (many-2)*bytes || running() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	c.Check(f.do(0, "GET", "/first", nil).body, qt.Equals, "ok")
-	c.Check(out.ahead() > 0, qt.IsTrue, qt.Commentf("the short answer waited for the long ones"))
+	c.Check(out.queuedBytes() > 0, qt.IsTrue, qt.Commentf("the short response waited for the long ones"))
 	for range many {
 		c.Check(len((<-done).body), qt.Equals, bytes)
 	}
-	c.Check(out.ahead(), qt.Equals, int64(0))
-	c.Check(f.gateways[1].held.total.Load(), qt.Equals, int64(0))
+	c.Check(out.queuedBytes(), qt.Equals, int64(0))
+	c.Check(f.gateways[1].responseBuffer.totalBytes.Load(), qt.Equals, int64(0))
 }
 
-// TestAnswerThatCannotLeaveIsRefused holds that a request whose answer would not be
-// through the link in time is refused before it runs, and one that would be is not.
+// TestAnswerThatCannotLeaveIsRefused checks that a request is refused before it runs if
+// its response would not be sent over the link in time, and is admitted otherwise.
 func TestAnswerThatCannotLeaveIsRefused(t *testing.T) {
 	c := qt.New(t)
 	l := newLink(1 << 20)
-	l.lengths.Note("long", 100<<10)
-	l.lengths.Note("short", 100)
-	k := func(route string) *work {
-		return &work{remote: true, route: route, useful: time.Now().Add(time.Second)}
+	l.responseLengths.Note("long", 100<<10)
+	l.responseLengths.Note("short", 100)
+	newRequest := func(route string) *backendRequest {
+		return &backendRequest{remote: true, route: route, usefulUntil: time.Now().Add(time.Second)}
 	}
 	for range 7 {
-		_, refused := l.admitAnswer(k("long"), 50*time.Millisecond)
+		_, refused := l.admitResponse(newRequest("long"), 50*time.Millisecond)
 		c.Assert(refused, qt.IsNil)
 	}
-	_, refused := l.admitAnswer(k("long"), 50*time.Millisecond)
+	_, refused := l.admitResponse(newRequest("long"), 50*time.Millisecond)
 	c.Assert(refused, qt.IsNotNil)
 	c.Check(refused.Code, qt.Equals, result.Overloaded)
-	c.Check(refused.back > 0, qt.IsTrue)
-	_, refused = l.admitAnswer(k("short"), 50*time.Millisecond)
+	c.Check(refused.retryAfter > 0, qt.IsTrue)
+	_, refused = l.admitResponse(newRequest("short"), 50*time.Millisecond)
 	c.Check(refused, qt.IsNil)
-	beside := k("long")
-	beside.remote = false
-	_, refused = l.admitAnswer(beside, 50*time.Millisecond)
+	local := newRequest("long")
+	local.remote = false
+	_, refused = l.admitResponse(local, 50*time.Millisecond)
 	c.Check(refused, qt.IsNil)
 }
 
-// TestLeftReaderGivesItsTurn holds that an answer whose caller left while it waits
-// or goes stops, and the next one has the link.
+// TestLeftReaderGivesItsTurn checks that a response stops when its caller disconnects
+// while it waits or is being sent, and that the next one then gets the link.
 func TestLeftReaderGivesItsTurn(t *testing.T) {
 	c := qt.New(t)
-	f := downloads(c, 1<<20, 800<<10)
+	f := newDownloadFleet(c, 1<<20, 800<<10)
 	client := &http.Client{Timeout: 100 * time.Millisecond, Transport: &http.Transport{}}
 	for range 3 {
 		if resp, err := client.Get(f.callers[0].URL + "/again"); err == nil {
@@ -157,34 +159,34 @@
 			_ = resp.Body.Close()
 		}
 	}
-	for f.gateways[1].link.out.ahead() != 0 {
+	for f.gateways[1].link.outbound.queuedBytes() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// TestStalledReaderLosesItsTurn holds that answers whose readers take nothing, such
-// as daemons that are frozen, do not keep the link from those whose readers do.
+// TestStalledReaderLosesItsTurn checks that responses whose readers read nothing, such as
+// frozen daemons, do not keep the link from other responses.
 func TestStalledReaderLosesItsTurn(t *testing.T) {
 	c := qt.New(t)
 	l := newLink(1 << 20)
-	frozen := make(chan struct{})
-	ended := make(chan error, answersAtATime)
-	for range answersAtATime {
-		stalled := l.depart(500 << 10)
-		c.Assert(stalled.wait(t.Context(), 1000), qt.IsNil)
+	unblock := make(chan struct{})
+	ended := make(chan error, maxOutboundTransfers)
+	for range maxOutboundTransfers {
+		stalled := l.startTransfer(500 << 10)
+		c.Assert(stalled.waitToSend(t.Context(), 1000), qt.IsNil)
 		go func() {
-			defer stalled.end()
-			ended <- stalled.send(1000, func() error { <-frozen; return nil })
+			defer stalled.finish()
+			ended <- stalled.sendPart(1000, func() error { <-unblock; return nil })
 		}()
 	}
-	next := l.depart(100 << 10)
-	c.Assert(next.turn, qt.IsNotNil)
-	c.Assert(next.wait(t.Context(), 1000), qt.IsNil)
-	c.Assert(next.send(1000, func() error { return nil }), qt.IsNil)
-	next.end()
-	close(frozen)
-	for range answersAtATime {
+	next := l.startTransfer(100 << 10)
+	c.Assert(next.granted, qt.IsNotNil)
+	c.Assert(next.waitToSend(t.Context(), 1000), qt.IsNil)
+	c.Assert(next.sendPart(1000, func() error { return nil }), qt.IsNil)
+	next.finish()
+	close(unblock)
+	for range maxOutboundTransfers {
 		c.Check(<-ended, qt.IsNil)
 	}
-	c.Check(l.out.ahead(), qt.Equals, int64(0))
+	c.Check(l.outbound.queuedBytes(), qt.Equals, int64(0))
 }
--- a/internal/connection/gateway/observe.go
+++ b/internal/connection/gateway/observe.go
@@ -10,84 +10,84 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Observer is told what becomes of calls. Its methods are called on the
-// goroutine of the request, at the same time from many: they must not block.
+// Observer receives the progress of calls. Its methods are called on the goroutines of
+// the requests, concurrently, and must not block.
 type Observer interface {
-	// Attempt is told when one attempt at a backend server ended.
+	// Attempt is called when an attempt at a backend server has ended.
 	Attempt(Attempt)
-	// Refused is told when a backend server's gate turned a request away.
+	// Refused is called when a backend server's gate has refused a request.
 	Refused(Refused)
-	// Done is told once for each request of a caller, with its final code.
+	// Done is called once for each request of a caller, with its final code.
 	Done(Done)
 }
 
-// Attempt is one attempt at a backend server, up to the header of its answer.
+// Attempt is one attempt at a backend server, up to the response header.
 type Attempt struct {
-	// Mesh and Route name the route of the request.
+	// Mesh and Route identify the request's route.
 	Mesh, Route string
-	// Node is the daemon beside the backend server at Server.
+	// Node is the daemon on the instance of the backend server at Server.
 	Node, Server string
-	// Number is 0 for the first attempt and counts up with each retry.
+	// Number is 0 for the first attempt and increases with each retry.
 	Number int
 	// Code is how the attempt ended.
 	Code result.Code
-	// Duration is the time from the choice of the server to that end.
+	// Duration is the time from the choice of the server to the end of the attempt.
 	Duration time.Duration
 }
 
-// Refused is one refusal at a backend server's gate.
+// Refused is a refusal by a backend server's gate.
 type Refused struct {
 	Server string
 	Code   result.Code
-	// Waited is how long the request stood in the queue.
+	// Waited is the time that the request spent in the queue.
 	Waited time.Duration
 }
 
-// Done is the end of one request of a caller.
+// Done is the result of one request of a caller.
 type Done struct {
-	// Mesh and Route name the route; both are "" if none matched.
+	// Mesh and Route identify the route; both are "" if none matched.
 	Mesh, Route string
-	// Code is what the caller was told. An answer cut on the way ends with
+	// Code is the result sent to the caller. A response that was truncated ends with
 	// AnswerLost although its header said OK.
 	Code result.Code
-	// Duration is the time from the request's header to the answer's last byte.
+	// Duration is the time from the request header to the last byte of the response.
 	Duration time.Duration
 }
 
-// Hop names one hop of a call; it is the name of its span.
+// Hop is one hop of a call and the name of its span.
 type Hop string
 
-// The hops of a call, in their order.
+// The hops of a call, in order.
 const (
-	// HopCaller is a request of a caller, arrived at a daemon.
+	// HopCaller is a caller's request arriving at a daemon.
 	HopCaller Hop = "caller"
-	// HopForward is that daemon's attempt at a server beside another daemon.
+	// HopForward is that daemon's attempt at a server on another instance.
 	HopForward Hop = "forward"
-	// HopPeer is a forwarded request, arrived at the daemon beside the server.
+	// HopPeer is a forwarded request arriving at the daemon on the server's instance.
 	HopPeer Hop = "peer"
-	// HopBackend is the request handed to the backend server.
+	// HopBackend is the request being sent to the backend server.
 	HopBackend Hop = "backend"
 )
 
-// Tracer begins the spans of a call's hops.
+// Tracer starts the spans of a call's hops.
 type Tracer interface {
-	// Arrive begins the span of a request that came in. Its parent is the one
-	// that the request's header names; the returned request carries the span.
+	// Arrive starts the span of an incoming request. The parent span is taken from the
+	// request's header; the returned request carries the new span.
 	Arrive(r *http.Request, hop Hop) (*http.Request, Span)
-	// Send begins the span of a request about to go out, a child of the span
-	// in ctx, and writes its trace context into header.
+	// Send starts the span of an outgoing request as a child of the span in ctx, and
+	// writes its trace context into header.
 	Send(ctx context.Context, hop Hop, header http.Header) Span
 }
 
-// Span is one hop while it lasts.
+// Span is the span of one hop.
 type Span interface {
-	// Set notes a property, such as the name of the route.
+	// Set sets an attribute, such as the name of the route.
 	Set(key, value string)
-	// End ends the span with the code of the hop. It is called once.
+	// End ends the span with the result code of the hop. It is called once.
 	End(code result.Code)
 }
 
-// The keys of span properties.
+// The span attribute keys.
 const (
 	SpanMesh   = "daisygate.mesh"
 	SpanRoute  = "daisygate.route"
@@ -95,57 +95,59 @@
 	SpanServer = "daisygate.server"
 )
 
-// ignore is the Observer, Tracer and Span of a gateway that has none.
-type ignore struct{}
+// noop is an Observer, Tracer and Span that does nothing.
+type noop struct{}
 
-func (ignore) Attempt(Attempt) {}
-func (ignore) Refused(Refused) {}
-func (ignore) Done(Done)       {}
+func (noop) Attempt(Attempt) {}
+func (noop) Refused(Refused) {}
+func (noop) Done(Done)       {}
 
-func (ignore) Arrive(r *http.Request, _ Hop) (*http.Request, Span) { return r, ignore{} }
+func (noop) Arrive(r *http.Request, _ Hop) (*http.Request, Span) { return r, noop{} }
 
-func (ignore) Send(context.Context, Hop, http.Header) Span { return ignore{} }
+func (noop) Send(context.Context, Hop, http.Header) Span { return noop{} }
 
-func (ignore) Set(string, string) {}
-func (ignore) End(result.Code)    {}
+func (noop) Set(string, string) {}
+func (noop) End(result.Code)    {}
 
-// Occupancy is how full one backend server beside this daemon is.
+// Occupancy is the load of one backend server of this instance.
 type Occupancy struct {
 	Server string
-	// Load is running and waiting requests per slot.
+	// Load is the number of running and queued requests per slot.
 	Load float64
-	// Running is the number of slots in use, Queued that of waiting requests
-	// and Slots the limit.
+	// Running is the number of slots in use, Queued the number of waiting requests, and
+	// Slots the limit.
 	Running, Queued, Slots int
-	// Requests were handed to the server since this daemon began; Repeats of them had come
-	// to a server before.
+	// Requests counts the requests sent to the server since this daemon started; Repeats
+	// counts those that had been sent to a server before.
 	Requests, Repeats uint64
 }
 
-// Occupancy lists the backend servers beside this daemon in no order.
+// Occupancy returns the occupancy of the backend servers of this instance, in no
+// particular order.
 func (g *Gateway) Occupancy() []Occupancy {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := make([]Occupancy, 0, len(g.backends))
 	for addr, b := range g.backends {
-		if !b.gone {
+		if !b.removed {
 			o := b.gate.occupancy(addr)
-			o.Requests, o.Repeats = b.requests.Load(), b.repeats.Load()
+			o.Requests, o.Repeats = b.requests.Load(), b.retries.Load()
 			list = append(list, o)
 		}
 	}
 	return list
 }
 
-// ServiceBudget is what this daemon spends on repeats of requests to one service.
+// ServiceBudget is the retry budget of this daemon for one service and its use.
 type ServiceBudget struct {
 	Key snapshot.ServiceKey
 	retry.Counts
-	// Slack is this daemon's part of the fleet's.
+	// Slack is this daemon's part of the fleet's slack.
 	Slack float64
 }
 
-// Budgets lists the services that this daemon was asked for in no order.
+// Budgets returns the budgets of the services that this daemon has called, in no
+// particular order.
 func (g *Gateway) Budgets() []ServiceBudget {
 	g.servicesMu.RLock()
 	defer g.servicesMu.RUnlock()
@@ -159,36 +161,36 @@
 	return list
 }
 
-// watched is one request of a caller as its observer sees it.
-type watched struct {
+// callObservation reports one request of a caller to the observer.
+type callObservation struct {
 	observer Observer
 	span     Span
 	start    time.Time
-	done     Done
+	result   Done
 }
 
-// watch begins to observe a request of a caller. The caller of watch sets
-// done.Code before each answer and defers end.
-func (g *Gateway) watch(r *http.Request) (*http.Request, *watched) {
+// observeCall starts the observation of a caller's request. The function that starts it
+// must set result.Code before each response and defer finish.
+func (g *Gateway) observeCall(r *http.Request) (*http.Request, *callObservation) {
 	r, span := g.cfg.Tracer.Arrive(r, HopCaller)
-	// A request that ends by a panic, because its answer was cut, keeps this
-	// code unless a refusal was written.
-	return r, &watched{observer: g.cfg.Observer, span: span, start: time.Now(), done: Done{Code: result.AnswerLost}}
+	// A request that ends with a panic because its response was truncated keeps this
+	// code, unless a refusal was written.
+	return r, &callObservation{observer: g.cfg.Observer, span: span, start: time.Now(), result: Done{Code: result.AnswerLost}}
 }
 
-func (w *watched) route(mesh, route string) {
-	w.done.Mesh, w.done.Route = mesh, route
-	w.span.Set(SpanMesh, mesh)
-	w.span.Set(SpanRoute, route)
+func (o *callObservation) setRoute(mesh, route string) {
+	o.result.Mesh, o.result.Route = mesh, route
+	o.span.Set(SpanMesh, mesh)
+	o.span.Set(SpanRoute, route)
 }
 
-func (w *watched) end() {
-	w.done.Duration = time.Since(w.start)
-	w.observer.Done(w.done)
-	w.span.End(w.done.Code)
+func (o *callObservation) finish() {
+	o.result.Duration = time.Since(o.start)
+	o.observer.Done(o.result)
+	o.span.End(o.result.Code)
 }
 
-// codeOf is the code of an attempt that ended with r.
+// codeOf returns the result code of an attempt that ended with r.
 func codeOf(r *refusal) result.Code {
 	if r == nil {
 		return result.OK
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -14,72 +14,72 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// ClaimTable reaches the replicated table of claims.
+// ClaimTable gives access to the replicated claim table.
 type ClaimTable interface {
-	// Do carries out one command. With an error, committed tells whether the
-	// command may have been committed all the same.
+	// Do executes one command. If it returns an error, committed reports whether the
+	// command may have been committed nevertheless.
 	Do(ctx context.Context, c claims.Command) (reply once.Reply, committed bool, err error)
-	// Peek asks one source that can be reached what it knows of a claim's key
-	// while there is no majority; once.NotHeld is nothing.
+	// Peek asks one reachable source for its record of a claim's key while there is no
+	// majority. once.NotHeld means that it has none.
 	Peek(ctx context.Context, c claims.Command) once.Reply
 }
 
-// OnceConfig is fixed for the life of a Once.
+// OnceConfig holds the settings of a Once; they do not change afterwards.
 type OnceConfig struct {
-	// Node and Incarnation name this process.
+	// Node and Incarnation identify this process.
 	Node        string
 	Incarnation uint64
 	Table       ClaimTable
-	// Lives reports whether the process that made a claim still runs, as far as
+	// Lives reports whether the process that made a claim is still running, as far as
 	// this daemon knows.
 	Lives func(once.Token) bool
 }
 
-// The bounds of a Once.
+// The limits of a Once.
 const (
-	// claimTimeout bounds the wait for the sources before a request is refused
-	// without a run.
+	// claimTimeout bounds the wait for the sources before a request is refused as not
+	// run.
 	claimTimeout = time.Second
-	// outage is how long no claim is tried after one found no majority of
-	// sources.
-	outage = time.Second
-	// peekTimeout bounds the look at one source meanwhile.
+	// outageBackoff is how long no claim is sent after one found no majority of sources.
+	outageBackoff = time.Second
+	// peekTimeout bounds the query to a single source during an outage.
 	peekTimeout = 200 * time.Millisecond
-	// settleTimeout bounds one try to record an end; settlePause is waited
-	// between tries.
-	settleTimeout = 2 * time.Second
-	settlePause   = 200 * time.Millisecond
-	// settleWorkers record ends at a time; settleQueue ends wait for them.
-	settleWorkers = 8
-	settleQueue   = 4096
-	// settleBytes is the most bytes of answers that wait; further ones are
-	// recorded as not kept.
-	settleBytes = 4 << 20
+	// settleTimeout bounds one attempt to record a result; settleRetryDelay is the delay
+	// between attempts.
+	settleTimeout    = 2 * time.Second
+	settleRetryDelay = 200 * time.Millisecond
+	// settleWorkers is the number of results recorded concurrently; settleQueueSize is
+	// the number that may be queued.
+	settleWorkers   = 8
+	settleQueueSize = 4096
+	// maxQueuedResponseBytes bounds the total size of queued responses; further results
+	// are recorded without their response.
+	maxQueuedResponseBytes = 4 << 20
 )
 
-// Once makes requests with an idempotency key run at most once, by claims in a
+// Once makes requests with an idempotency key run at most once, using claims in a
 // replicated table. It implements Claims.
 type Once struct {
 	cfg OnceConfig
 	log logr.Logger
 	seq atomic.Uint64
-	// granted holds a claims.Command with ID and Token by *Request, from Claim
-	// to Settle.
+	// granted maps *Request to a claims.Command with ID and Token, from Claim until
+	// Settle.
 	granted sync.Map
-	// downUntil is when the next claim may be tried, in Unix nanoseconds; 0
-	// while the sources answer.
-	downUntil atomic.Int64
+	// outageUntil is when the next claim may be sent, in Unix nanoseconds; 0 while the
+	// sources respond.
+	outageUntil atomic.Int64
 
-	ends    chan claims.Command
-	pending sync.WaitGroup
-	count   atomic.Int64
-	// waiting is the bytes of answers in ends.
-	waiting atomic.Int64
+	queue       chan claims.Command
+	pending     sync.WaitGroup
+	queueLength atomic.Int64
+	// queuedBytes is the size of the responses in queue.
+	queuedBytes atomic.Int64
 }
 
-// NewOnce returns a Once; Run records the ends.
+// NewOnce returns a Once. Run must be running for results to be recorded.
 func NewOnce(cfg OnceConfig, log logr.Logger) *Once {
-	return &Once{cfg: cfg, log: log, ends: make(chan claims.Command, settleQueue)}
+	return &Once{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
 }
 
 // Claim implements Claims.
@@ -92,9 +92,9 @@
 		Kind: claims.KindClaim, ID: once.NewID(r.Mesh, key), Fingerprint: fingerprintOf(r),
 		Token: once.Token{Node: o.cfg.Node, Incarnation: o.cfg.Incarnation, Seq: o.seq.Add(1)},
 	}
-	// The claim goes on when its caller leaves: its end must be known.
+	// The claim continues when its caller disconnects: its result must be known.
 	ctx = context.WithoutCancel(ctx)
-	reply, ok := o.ask(ctx, c)
+	reply, ok := o.sendClaim(ctx, c)
 	if !ok {
 		return verdictOf(o.peek(ctx, c))
 	}
@@ -105,35 +105,36 @@
 	return verdictOf(step)
 }
 
-// ask makes the claim; ok is false when no majority of sources answered.
-func (o *Once) ask(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
-	if !o.mayAsk() {
+// sendClaim sends the claim. ok is false if no majority of sources answered.
+func (o *Once) sendClaim(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
+	if !o.allowClaim() {
 		return reply, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	reply, committed, err := o.cfg.Table.Do(ctx, c)
 	if err != nil {
-		o.unavailable(c, committed, err)
+		o.beginOutage(c, committed, err)
 		return reply, false
 	}
-	o.downUntil.Store(0)
+	o.outageUntil.Store(0)
 	return reply, true
 }
 
-// mayAsk lets one claim at a time find out whether an outage is over.
-func (o *Once) mayAsk() bool {
-	now, until := time.Now().UnixNano(), o.downUntil.Load()
+// allowClaim reports whether a claim may be sent. During an outage it lets one claim at a
+// time probe whether the outage is over.
+func (o *Once) allowClaim() bool {
+	now, until := time.Now().UnixNano(), o.outageUntil.Load()
 	if until == 0 {
 		return true
 	}
-	return now >= until && o.downUntil.CompareAndSwap(until, now+int64(outage))
+	return now >= until && o.outageUntil.CompareAndSwap(until, now+int64(outageBackoff))
 }
 
-// peek decides without a majority: a key that one source knows is answered by
-// that, any other request is not run, and nothing is known of earlier sendings.
-// One source may lag: a claim of another request may be released since, and this
-// one may have run, so that a mismatch decides nothing.
+// peek decides without a majority. If one source knows the key, its record decides;
+// otherwise the request is not run, and nothing is known about earlier submissions. The
+// source may lag: the claim of another request may have been released since, and this
+// request may have run, so a mismatch proves nothing.
 func (o *Once) peek(ctx context.Context, c claims.Command) once.Step {
 	ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 	defer cancel()
@@ -144,13 +145,13 @@
 	return once.Open(reply, o.cfg.Lives)
 }
 
-// unavailable begins a time without claims, and takes back what may have been
+// beginOutage suspends claims for a while and releases a claim that may have been
 // committed.
-func (o *Once) unavailable(c claims.Command, committed bool, err error) {
+func (o *Once) beginOutage(c claims.Command, committed bool, err error) {
 	o.log.V(1).Info("claim not recorded", "error", err.Error())
-	o.downUntil.Store(time.Now().Add(outage).UnixNano())
+	o.outageUntil.Store(time.Now().Add(outageBackoff).UnixNano())
 	if committed {
-		o.settle(claims.Command{Kind: claims.KindRelease, ID: c.ID, Token: c.Token})
+		o.enqueue(claims.Command{Kind: claims.KindRelease, ID: c.ID, Token: c.Token})
 	}
 }
 
@@ -167,54 +168,55 @@
 	if s.Replay == nil {
 		return v
 	}
-	v.Answer = &KeptAnswer{Status: s.Replay.Status, Header: http.Header{}, Body: s.Replay.Body}
+	v.Response = &StoredResponse{Status: s.Replay.Status, Header: http.Header{}, Body: s.Replay.Body}
 	for _, f := range s.Replay.Header {
-		v.Answer.Header.Add(f.Name, f.Value)
+		v.Response.Header.Add(f.Name, f.Value)
 	}
 	return v
 }
 
-// Settle implements Claims. The end is recorded in the background: until then a
-// resend is told that the first run is in progress.
+// Settle implements Claims. The result is recorded in the background; until then a resent
+// request is told that the first run is in progress.
 func (o *Once) Settle(r *Request, s Settlement) {
-	held, granted := o.granted.LoadAndDelete(r)
+	grantedCommand, granted := o.granted.LoadAndDelete(r)
 	if !granted {
 		return
 	}
-	c := held.(claims.Command)
+	c := grantedCommand.(claims.Command)
 	c.Kind = claims.KindRelease
-	if c.Answer = once.Close(s.Code, recorded(s.Answer)); c.Answer != nil {
+	if c.Answer = once.Close(s.Code, storedForm(s.Response)); c.Answer != nil {
 		c.Kind = claims.KindAnswer
 	}
-	o.settle(c)
+	o.enqueue(c)
 }
 
-// recorded returns the form in which an answer is kept, or nil without one.
-func recorded(a *KeptAnswer) *once.Answer {
-	if a == nil {
+// storedForm returns the response in the form in which it is stored, or nil if there is
+// none.
+func storedForm(response *StoredResponse) *once.Answer {
+	if response == nil {
 		return nil
 	}
-	kept := &once.Answer{Status: a.Status, Body: a.Body}
-	for name, values := range a.Header {
+	stored := &once.Answer{Status: response.Status, Body: response.Body}
+	for name, values := range response.Header {
 		for _, v := range values {
-			kept.Header = append(kept.Header, once.HeaderField{Name: name, Value: v})
+			stored.Header = append(stored.Header, once.HeaderField{Name: name, Value: v})
 		}
 	}
-	return kept
+	return stored
 }
 
-func (o *Once) settle(c claims.Command) {
-	if size := sizeOf(&c); size > 0 && o.waiting.Add(size) > settleBytes {
-		o.waiting.Add(-size)
+func (o *Once) enqueue(c claims.Command) {
+	if size := sizeOf(&c); size > 0 && o.queuedBytes.Add(size) > maxQueuedResponseBytes {
+		o.queuedBytes.Add(-size)
 		c.Answer = &once.Answer{Code: c.Answer.Code, Dropped: true}
 	}
 	o.pending.Add(1)
-	o.count.Add(1)
+	o.queueLength.Add(1)
 	select {
-	case o.ends <- c:
+	case o.queue <- c:
 	default:
-		o.done(&c)
-		o.log.Info("end of a claimed request not recorded: too many wait", "waiting", settleQueue)
+		o.dequeued(&c)
+		o.log.Info("end of a claimed request not recorded: too many wait", "waiting", settleQueueSize)
 	}
 }
 
@@ -225,37 +227,37 @@
 	return int64(c.Answer.Size())
 }
 
-func (o *Once) done(c *claims.Command) {
-	o.waiting.Add(-sizeOf(c))
-	o.count.Add(-1)
+func (o *Once) dequeued(c *claims.Command) {
+	o.queuedBytes.Add(-sizeOf(c))
+	o.queueLength.Add(-1)
 	o.pending.Done()
 }
 
-// Waiting is how many ends are not recorded yet.
-func (o *Once) Waiting() int { return int(o.count.Load()) }
+// Waiting returns the number of results that are not recorded yet.
+func (o *Once) Waiting() int { return int(o.queueLength.Load()) }
 
-// Run records ends until ctx ends.
+// Run records results until ctx is done.
 func (o *Once) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range settleWorkers {
-		workers.Go(func() { o.work(ctx) })
+		workers.Go(func() { o.runWorker(ctx) })
 	}
 	workers.Wait()
 }
 
-func (o *Once) work(ctx context.Context) {
+func (o *Once) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-o.ends:
+		case c := <-o.queue:
 			o.record(ctx, c)
-			o.done(&c)
+			o.dequeued(&c)
 		}
 	}
 }
 
-// record tries until the sources answered.
+// record retries until the sources have answered.
 func (o *Once) record(ctx context.Context, c claims.Command) {
 	for ctx.Err() == nil {
 		try, cancel := context.WithTimeout(ctx, settleTimeout)
@@ -263,24 +265,24 @@
 		cancel()
 		if err == nil {
 			if reply.Verdict != once.Done {
-				o.log.V(1).Info("end of a claimed request came too late", "verdict", reply.Verdict)
+				o.log.V(1).Info("result of a claimed request not accepted by the claim table", "verdict", reply.Verdict)
 			}
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(settlePause):
+		case <-time.After(settleRetryDelay):
 		}
 	}
 }
 
-// Flush waits until every end is recorded, or ctx ends.
+// Flush waits until all results are recorded or ctx is done.
 func (o *Once) Flush(ctx context.Context) {
 	recorded := make(chan struct{})
 	go func() { o.pending.Wait(); close(recorded) }()
 	select {
 	case <-recorded:
 	case <-ctx.Done():
-		o.log.Info("stopped with ends of claimed requests not recorded")
+		o.log.Info("stopped before the results of all claimed requests were recorded")
 	}
 }
--- a/internal/connection/gateway/once_test.go
+++ b/internal/connection/gateway/once_test.go
@@ -15,35 +15,35 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// claimsOf grants every claim, or refuses it with a code.
-type claimsOf struct {
+// fakeClaims grants every claim, or refuses every claim with a code.
+type fakeClaims struct {
 	code    result.Code
 	settled []result.Code
 }
 
-func (k *claimsOf) Claim(context.Context, *Request) ClaimVerdict {
-	if k.code != result.OK {
-		return ClaimVerdict{Refusal: result.Errorf(k.code, "here")}
+func (f *fakeClaims) Claim(context.Context, *Request) ClaimVerdict {
+	if f.code != result.OK {
+		return ClaimVerdict{Refusal: result.Errorf(f.code, "here")}
 	}
 	return ClaimVerdict{}
 }
 
-func (k *claimsOf) Settle(_ *Request, s Settlement) { k.settled = append(k.settled, s.Code) }
+func (f *fakeClaims) Settle(_ *Request, s Settlement) { f.settled = append(f.settled, s.Code) }
 
-// refusing screens every request out.
-type refusing struct{ Suspects }
+// refusingScreener refuses every request.
+type refusingScreener struct{ CrashScreener }
 
-func (refusing) Screen(*Request) Screening {
+func (refusingScreener) Screen(*Request) Screening {
 	return Screening{Refusal: result.Errorf(result.Quarantined, "here")}
 }
 
-// TestNotRunIsTrueOfTheRequest holds that a request with a key is told "not-run"
-// only if its key was looked up: an earlier sending may have run otherwise.
+// TestNotRunIsTrueOfTheRequest checks that a request with a key is reported as "not-run"
+// only if its key was looked up: otherwise an earlier submission may have run.
 func TestNotRunIsTrueOfTheRequest(t *testing.T) {
 	notReady := func(g *Gateway) { g.cfg.Ready = func() bool { return false } }
-	quarantined := func(g *Gateway) { g.cfg.Suspects = refusing{} }
+	quarantined := func(g *Gateway) { g.cfg.Suspects = refusingScreener{} }
 	busy := func(g *Gateway) {
-		for g.enter("m") {
+		for g.acquireShare("m") {
 			continue
 		}
 	}
@@ -69,8 +69,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			f := newFleet(c, 1)
-			g, k := f.gateways[0], &claimsOf{code: v.claim}
-			g.cfg.Claims, g.started = k, g.started.Add(-learning)
+			g, claims := f.gateways[0], &fakeClaims{code: v.claim}
+			g.cfg.Claims, g.started = claims, g.started.Add(-learningPeriod)
 			if v.prepare != nil {
 				v.prepare(g)
 			}
@@ -78,7 +78,7 @@
 			c.Assert(err, qt.IsNil)
 			defer func() { _ = conn.Close() }()
 			_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-			say(conn, "POST /short HTTP/1.1\nHost: a\n"+v.header+"\n")
+			writeRaw(conn, "POST /short HTTP/1.1\nHost: a\n"+v.header+"\n")
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			c.Assert(err, qt.IsNil)
 			var body struct{ Outcome string }
@@ -86,7 +86,7 @@
 			c.Assert(resp.Header.Get(result.HeaderResult), qt.Equals, strconv.Itoa(int(v.code)))
 			c.Check(resp.Header.Get(result.HeaderOutcome), qt.Equals, v.want)
 			c.Check(body.Outcome, qt.Equals, v.want)
-			c.Check(k.settled, qt.HasLen, map[bool]int{true: 1}[v.code == result.NoBackendServer])
+			c.Check(claims.settled, qt.HasLen, map[bool]int{true: 1}[v.code == result.NoBackendServer])
 		})
 	}
 }
--- a/internal/connection/gateway/peer.go
+++ b/internal/connection/gateway/peer.go
@@ -8,9 +8,9 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// ServePeer serves calls passed on by other daemons.
+// ServePeer handles calls forwarded by other daemons.
 func (g *Gateway) ServePeer(w http.ResponseWriter, r *http.Request) {
-	k, timeout, stall, refused := forwarded(r)
+	req, timeout, stallTimeout, refused := parseForwarded(r)
 	if refused != nil {
 		writeRefusal(w, refused)
 		return
@@ -18,67 +18,67 @@
 	r, span := g.cfg.Tracer.Arrive(r, HopPeer)
 	code := result.AnswerLost
 	defer func() { span.End(code) }()
-	k.id = g.cfg.Dialect.Caller(r).ID
-	ctx, win, cancel := newWindow(r.Context(), timeout)
+	req.id = g.cfg.Dialect.Caller(r).ID
+	ctx, timer, cancel := withInactivityTimeout(r.Context(), timeout)
 	defer cancel()
-	body, err := newRequestBody(w, r, win, stall)
+	body, err := newRequestBody(w, r, timer, stallTimeout)
 	if err != nil {
 		code = result.CallerLeft
 		panic(http.ErrAbortHandler)
 	}
-	defer body.leave()
-	k.hooked.HTTP, k.hooked.Body, k.body = r, body.small, body
-	resp, refused := g.serve(ctx, k)
-	defer func() { k.answered() }()
-	g.setClose(w.Header())
-	g.tellLoad(w.Header(), k)
-	g.tellTook(w.Header(), k)
-	body.announce(w.Header())
+	defer body.finish()
+	req.request.HTTP, req.request.Body, req.body = r, body.buffered, body
+	resp, refused := g.serve(ctx, req)
+	defer func() { req.releaseResponse() }()
+	g.setConnectionClose(w.Header())
+	g.writeLoad(w.Header(), req)
+	g.writeServerTime(w.Header(), req)
+	body.closeIfUnread(w.Header())
 	if refused != nil {
 		code = refused.Code
 		writeRefusal(w, refused)
-		body.settle()
+		body.discardRest()
 		return
 	}
-	win.stop()
-	g.link.lengths.Note(k.route, resp.ContentLength)
-	k.answered()
-	if !relay(ctx, w, resp, nil, g.link.depart(resp.ContentLength)) {
+	timer.stop()
+	g.link.responseLengths.Note(req.route, resp.ContentLength)
+	req.releaseResponse()
+	if !relay(ctx, w, resp, nil, g.link.startTransfer(resp.ContentLength)) {
 		panic(http.ErrAbortHandler)
 	}
 	code = result.OK
-	body.settle()
+	body.discardRest()
 }
 
-// forwarded reads the internal headers of a request.
-func forwarded(r *http.Request) (k *work, timeout, stall time.Duration, refused *refusal) {
-	timeout, okTimeout := durationOf(r.Header, HeaderTimeout)
-	stall, okStall := durationOf(r.Header, headerStall)
-	priority, okPriority := numberOf(r.Header, headerPriority)
-	depth, okDepth := numberOf(r.Header, HeaderDepth)
-	k = &work{
+// parseForwarded parses the internal headers of a forwarded request.
+func parseForwarded(r *http.Request) (req *backendRequest, timeout, stallTimeout time.Duration, refused *refusal) {
+	timeout, okTimeout := parseDurationHeader(r.Header, HeaderTimeout)
+	stallTimeout, okStall := parseDurationHeader(r.Header, headerStall)
+	priority, okPriority := parseIntHeader(r.Header, headerPriority)
+	depth, okDepth := parseIntHeader(r.Header, HeaderDepth)
+	req = &backendRequest{
 		addr: r.Header.Get(headerServer), priority: priority, depth: depth,
-		deadline: time.Now().Add(timeout), fresh: r.Header.Get(headerFresh) != "",
-		remote: true, answered: func() {}, origin: r.Header.Get(headerOrigin), route: r.Header.Get(headerRoute),
-		repeat: parseRepeat(r.Header.Get(headerRepeat)),
-		hooked: &Request{Mesh: r.Header.Get(headerMesh), Service: r.Header.Get(headerService), Alone: r.Header.Get(headerAlone) != ""},
+		deadline: time.Now().Add(timeout), nonRepeatable: r.Header.Get(headerFresh) != "",
+		remote: true, releaseResponse: func() {}, origin: r.Header.Get(headerOrigin), route: r.Header.Get(headerRoute),
+		retryProbability: parseRetryProbability(r.Header.Get(headerRepeat)),
+		request:          &Request{Mesh: r.Header.Get(headerMesh), Service: r.Header.Get(headerService), Isolated: r.Header.Get(headerAlone) != ""},
 	}
-	if !okTimeout || !okStall || !okPriority || !okDepth || k.addr == "" {
-		return nil, 0, 0, refuse(result.BadRequest, "not a forwarded call")
+	if !okTimeout || !okStall || !okPriority || !okDepth || req.addr == "" {
+		return nil, 0, 0, newRefusal(result.BadRequest, "the headers of a forwarded call are missing or invalid")
 	}
 	if micros, err := strconv.ParseInt(r.Header.Get(headerUseful), 10, 64); err == nil {
-		k.useful = time.Now().Add(time.Duration(micros) * time.Microsecond)
+		req.usefulUntil = time.Now().Add(time.Duration(micros) * time.Microsecond)
 	}
 	if r.Header.Get(headerFixed) != "" {
-		stall = 0
+		stallTimeout = 0
 	}
-	return k, timeout, stall, nil
+	return req, timeout, stallTimeout, nil
 }
 
-// setClose asks the other side of a connection to leave it, once this daemon
-// leaves.
-func (g *Gateway) setClose(h http.Header) {
-	if g.leaving.Load() {
+// setConnectionClose asks the client to close its connection if this daemon is shutting
+// down.
+func (g *Gateway) setConnectionClose(h http.Header) {
+	if g.shuttingDown.Load() {
 		h.Set("Connection", "close")
 	}
 }
--- a/internal/connection/gateway/quarantine.go
+++ b/internal/connection/gateway/quarantine.go
@@ -17,96 +17,97 @@
 )
 
 const (
-	// probeTimeout bounds a look whether a backend server still listens.
+	// probeTimeout bounds the check whether a backend server is still listening.
 	probeTimeout = 200 * time.Millisecond
-	// probePause lets a server that ends close its listener after its
+	// probeDelay gives an exiting server time to close its listener after its
 	// connections.
-	probePause = 50 * time.Millisecond
-	// reportLead is how long the answer to a request in progress at a crash is
-	// held back, so that the reports are ahead of a resend.
-	reportLead = 100 * time.Millisecond
-	// retryAfterCrash is when a caller may send a request again that was in
-	// progress at a crash: the fleet knows of it by then.
+	probeDelay = 50 * time.Millisecond
+	// crashReportDelay is how long the response to a request in progress at a crash is
+	// delayed, so that the crash reports propagate before the request is sent again.
+	crashReportDelay = 100 * time.Millisecond
+	// retryAfterCrash is when a caller may retry a request that was in progress at a
+	// crash: the fleet knows of the crash by then.
 	retryAfterCrash = time.Second
-	// aloneWait is the longest that a suspect waits for its server to become
-	// empty; nothing new begins there meanwhile.
-	aloneWait = time.Second
+	// maxIsolationWait bounds how long a suspect waits for its server to become idle; the
+	// server starts no other request meanwhile.
+	maxIsolationWait = time.Second
 )
 
-// screen asks about the request before it is dispatched. Suspects get the pin
-// that chooses their server.
+// screen checks the request before it is dispatched. For suspects it returns the pin that
+// selects their server.
 func (x *exchange) screen() (pin uint64, refused *refusal) {
-	x.hooked.Body = x.body.small
-	s := x.g.screen(x.hooked)
+	x.request.Body = x.body.buffered
+	s := x.g.screen(x.request)
 	if s.Refusal != nil {
-		return 0, &refusal{Error: s.Refusal, back: s.RetryAfter}
+		return 0, &refusal{Error: s.Refusal, retryAfter: s.RetryAfter}
 	}
-	x.hooked.Alone = s.Alone
+	x.request.Isolated = s.Isolated
 	return s.Pin, nil
 }
 
-// isolate makes a request alone after its server crashed, before other daemons
-// know of it: the next attempt takes no other down. It reports whether there
-// may be one.
+// isolate marks a request as isolated after its server crashed, before other daemons know
+// of the crash, so that the next attempt affects no other request. It reports whether
+// another attempt is allowed.
 func (x *exchange) isolate(refused *refusal) bool {
 	if refused.Code != result.BackendCrashed || x.g.cfg.Suspects == nil {
 		return true
 	}
-	s := x.g.cfg.Suspects.Told(x.hooked)
-	again := s.Refusal == nil && !x.hooked.Alone
-	x.hooked.Alone = true
-	x.course.isolate(s.Pin)
-	return again
+	s := x.g.cfg.Suspects.ReportCrash(x.request)
+	mayRetry := s.Refusal == nil && !x.request.Isolated
+	x.request.Isolated = true
+	x.call.isolate(s.Pin)
+	return mayRetry
 }
 
-func (c *course) isolate(pin uint64) {
+func (c *lockedCall) isolate(pin uint64) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	c.call.Isolate(pin)
 }
 
-// admitSuspect screens beside the backend server: before a request waits for
-// its slot and, because another may have crashed the server meanwhile, after.
-func (g *Gateway) admitSuspect(k *work) *refusal {
-	s := g.screen(k.hooked)
+// admitSuspect screens a request on the backend server's instance: before it waits for a
+// slot, and again afterwards because another request may have crashed the server
+// meanwhile.
+func (g *Gateway) admitSuspect(req *backendRequest) *refusal {
+	s := g.screen(req.request)
 	if s.Refusal != nil {
-		return &refusal{Error: s.Refusal, back: s.RetryAfter}
+		return &refusal{Error: s.Refusal, retryAfter: s.RetryAfter}
 	}
-	k.hooked.Alone = k.hooked.Alone || s.Alone
+	req.request.Isolated = req.request.Isolated || s.Isolated
 	return nil
 }
 
-func (k *work) ticket(now time.Time) admit.Ticket {
-	t := admit.Ticket{Priority: k.priority, Deadline: k.deadline, Useful: k.useful, Kind: k.route, Alone: k.hooked.Alone}
-	if wait := now.Add(aloneWait); t.Alone && wait.Before(t.Deadline) {
+func (req *backendRequest) ticket(now time.Time) admit.Ticket {
+	t := admit.Ticket{Priority: req.priority, Deadline: req.deadline, Useful: req.usefulUntil, Kind: req.route, Alone: req.request.Isolated}
+	if wait := now.Add(maxIsolationWait); t.Alone && wait.Before(t.Deadline) {
 		t.Deadline = wait
 	}
 	return t
 }
 
-// QuarantineConfig is fixed for the life of a Quarantine.
+// QuarantineConfig holds the settings of a Quarantine; they do not change afterwards.
 type QuarantineConfig struct {
-	// Self is this daemon's name.
+	// Self is the name of this daemon.
 	Self string
-	// Directory returns the newest directory, which carries the reports of the
-	// other daemons.
+	// Directory returns the current directory, which contains the reports of the other
+	// daemons.
 	Directory func() *directory.Directory
-	// Publish replaces what this daemon reports.
+	// Publish replaces the suspects that this daemon reports.
 	Publish func([]presence.Suspect)
-	// SlowRestart is passed to package quarantine.
+	// SlowRestart is passed on to package quarantine.
 	SlowRestart bool
 }
 
-// Quarantine keeps requests that crash backend servers away from the rest. It
-// implements Suspects.
+// Quarantine isolates or refuses requests that crash backend servers. It implements
+// CrashScreener.
 type Quarantine struct {
 	cfg QuarantineConfig
 	log logr.Logger
 
 	mu   sync.Mutex
 	core *quarantine.Core
-	// learnt is the directory that core has learnt from.
-	learnt *directory.Directory
+	// learnedFrom is the directory whose reports core has processed.
+	learnedFrom *directory.Directory
 }
 
 // NewQuarantine returns a Quarantine.
@@ -116,58 +117,58 @@
 	return &Quarantine{cfg: cfg, log: log, core: quarantine.New(core)}
 }
 
-// Screen implements Suspects.
+// Screen implements CrashScreener.
 func (q *Quarantine) Screen(r *Request) Screening {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.learn()
-	if q.core.Quiet() && !r.Alone {
+	q.updateReports()
+	if q.core.Quiet() && !r.Isolated {
 		return Screening{}
 	}
 	id := identityOf(r)
-	return q.judge(time.Now(), id.Fingerprint(), r.Alone)
+	return q.judge(time.Now(), id.Fingerprint(), r.Isolated)
 }
 
-// Told implements Suspects.
-func (q *Quarantine) Told(r *Request) Screening {
+// ReportCrash implements CrashScreener.
+func (q *Quarantine) ReportCrash(r *Request) Screening {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.learn()
+	q.updateReports()
 	id := identityOf(r)
 	now, f := time.Now(), id.Fingerprint()
-	if q.core.Told(now, f, r.Alone) {
+	if q.core.Told(now, f, r.Isolated) {
 		q.publish()
 	}
 	return q.judge(now, f, true)
 }
 
-func (q *Quarantine) judge(now time.Time, f quarantine.Fingerprint, alone bool) Screening {
+func (q *Quarantine) judge(now time.Time, f quarantine.Fingerprint, isolated bool) Screening {
 	v := q.core.Judge(now, f)
 	switch {
 	case v.Mode == quarantine.Refused:
 		code := result.Quarantined
 		return Screening{Refusal: result.Errorf(code, "%s", code.Meaning()), RetryAfter: v.Until.Sub(now)}
-	case v.Mode == quarantine.Alone || alone:
-		return Screening{Alone: true, Pin: uint64(f)}
+	case v.Mode == quarantine.Alone || isolated:
+		return Screening{Isolated: true, Pin: uint64(f)}
 	}
 	return Screening{}
 }
 
-// Known is how many requests of the fleet are suspected.
+// Known returns the number of suspected requests in the fleet.
 func (q *Quarantine) Known() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.learn()
+	q.updateReports()
 	return q.core.Known(time.Now())
 }
 
-// learn takes in the reports of a directory that is new.
-func (q *Quarantine) learn() {
+// updateReports processes the reports of the directory if it has changed.
+func (q *Quarantine) updateReports() {
 	dir := q.cfg.Directory()
-	if dir == q.learnt {
+	if dir == q.learnedFrom {
 		return
 	}
-	q.learnt = dir
+	q.learnedFrom = dir
 	own := map[quarantine.Fingerprint]bool{}
 	for _, s := range q.core.Reports() {
 		own[s.Fingerprint] = true
@@ -180,7 +181,8 @@
 			if self && own[f] {
 				continue
 			}
-			// What an earlier process of this daemon saw is as told by another.
+			// Reports of an earlier process of this daemon are treated like those of
+			// another daemon.
 			reports = append(reports, quarantine.Suspect{
 				Fingerprint: f, Crashes: s.Crashes, Until: time.UnixMilli(s.Until), Told: s.Told || self, Source: r.Node.Name,
 			})
@@ -196,57 +198,57 @@
 	}
 }
 
-// Begin implements Suspects.
+// Begin implements CrashScreener.
 func (q *Quarantine) Begin(addr string, r *Request) Run {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return &suspectRun{q: q, addr: addr, r: r, id: q.core.Begin(time.Now(), addr, identityOf(r), r.Alone)}
+	return &suspectRun{q: q, addr: addr, r: r, runID: q.core.Begin(time.Now(), addr, identityOf(r), r.Isolated)}
 }
 
-// suspectRun is one run that a Quarantine watches.
+// suspectRun is a run monitored by a Quarantine.
 type suspectRun struct {
-	q    *Quarantine
-	addr string
-	r    *Request
-	id   uint64
+	q     *Quarantine
+	addr  string
+	r     *Request
+	runID uint64
 }
 
-var fates = map[Fate]quarantine.Fate{
+var quarantineFates = map[RunStatus]quarantine.Fate{
 	Finished: quarantine.Well, Cancelled: quarantine.GivenUp, Unsent: quarantine.GivenUp, Crashed: quarantine.Lost,
 }
 
-// End implements Run. After a lost connection it looks whether the server still
-// listens: a crash is told from one cut connection by that.
-func (s *suspectRun) End(f Fate) bool {
-	listens := true
-	if f == Crashed {
-		s.drop()
-		listens = listening(s.addr)
+// End implements Run. After a lost connection it checks whether the server is still
+// listening, to distinguish a crash from a single closed connection.
+func (s *suspectRun) End(status RunStatus) bool {
+	listening := true
+	if status == Crashed {
+		s.recordConnectionLoss()
+		listening = stillListening(s.addr)
 	}
-	crashed, changed := s.end(fates[f], listens)
+	crashed, changed := s.recordEnd(quarantineFates[status], listening)
 	if crashed && changed {
 		s.logCrash()
 	}
 	if crashed {
-		time.Sleep(reportLead)
+		time.Sleep(crashReportDelay)
 	}
 	return crashed
 }
 
-func (s *suspectRun) end(f quarantine.Fate, listens bool) (crashed, changed bool) {
+func (s *suspectRun) recordEnd(fate quarantine.Fate, listening bool) (crashed, changed bool) {
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
-	crashed, changed = s.q.core.End(time.Now(), s.addr, s.id, f, listens)
+	crashed, changed = s.q.core.End(time.Now(), s.addr, s.runID, fate, listening)
 	if changed {
 		s.q.publish()
 	}
 	return crashed, changed
 }
 
-// logCrash tells of a crash once; of one at which a request ran alone, it names
-// the request.
+// logCrash logs a crash once. If the request ran isolated, the log entry identifies the
+// request.
 func (s *suspectRun) logCrash() {
-	if !s.r.Alone {
+	if !s.r.Isolated {
 		s.q.log.Info("backend server crashed: what it ran is suspected and runs alone next", "server", s.addr)
 		return
 	}
@@ -254,10 +256,10 @@
 		"server", s.addr, "mesh", s.r.Mesh, "method", s.r.HTTP.Method, "path", s.r.HTTP.URL.Path)
 }
 
-func (s *suspectRun) drop() {
+func (s *suspectRun) recordConnectionLoss() {
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
-	s.q.core.Drop(time.Now(), s.addr, s.id)
+	s.q.core.Drop(time.Now(), s.addr, s.runID)
 }
 
 func (q *Quarantine) publish() {
@@ -268,17 +270,17 @@
 	q.cfg.Publish(out)
 }
 
-// listening reports whether connections to addr are not refused. A server that
-// only does not answer has not crashed.
-func listening(addr string) bool {
-	if !accepts(addr) {
+// stillListening reports whether addr does not refuse connections. A server that is
+// merely unresponsive has not crashed.
+func stillListening(addr string) bool {
+	if !acceptsConnections(addr) {
 		return false
 	}
-	time.Sleep(probePause)
-	return accepts(addr)
+	time.Sleep(probeDelay)
+	return acceptsConnections(addr)
 }
 
-func accepts(addr string) bool {
+func acceptsConnections(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/connection/gateway/quarantine_test.go
+++ b/internal/connection/gateway/quarantine_test.go
@@ -16,8 +16,8 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// TestRestartedDaemonRefusesSuspects guards against a daemon that lets a request run which an
-// earlier process of its own saw crash servers.
+// TestRestartedDaemonRefusesSuspects guards against a restarted daemon running a request
+// that crashed servers under its previous process.
 func TestRestartedDaemonRefusesSuspects(t *testing.T) {
 	c := qt.New(t)
 	snap, err := snapshot.Compile(fleet.Empty())
--- a/internal/connection/gateway/repeats.go
+++ b/internal/connection/gateway/repeats.go
@@ -11,133 +11,136 @@
 )
 
 const (
-	// toldMemory is how long it counts that another daemon told of a route that callers
-	// send on it.
-	toldMemory = 2 * time.Second
-	// verdictAge is how often it is worked out who sends on a route.
-	verdictAge = time.Second
-	// maxVerdicts bounds the routes of which either is remembered.
+	// reportLifetime is how long another daemon's report that callers of all services use
+	// a route remains valid.
+	reportLifetime = 2 * time.Second
+	// verdictLifetime is how often the origins of a route's requests are evaluated.
+	verdictLifetime = time.Second
+	// maxVerdicts bounds the routes for which reports and verdicts are kept.
 	maxVerdicts = 4096
-	// leastRepeat is the least probability of a repeat that is passed on.
-	leastRepeat = 0.01
+	// minRetryProbability is the smallest retry probability that is passed on.
+	minRetryProbability = 0.01
 )
 
-// repeatTracker knows which requests that begin at this instance may follow from repeats:
-// package lineage with a lock.
-type repeatTracker struct {
+// retryTracker estimates which requests that originate at this instance were made by
+// retried runs. It is package lineage with a lock.
+type retryTracker struct {
 	mu      sync.Mutex
 	runs    lineage.Runs
 	origins lineage.Origins
-	// told is when another daemon told last that callers of all services send on a route,
-	// verdicts what this one found.
-	told     map[lineage.Route]time.Time
-	verdicts map[lineage.Route]verdict
+	// reported is when another daemon last reported that callers of all services use a
+	// route. verdicts holds this daemon's own findings.
+	reported map[lineage.Route]time.Time
+	verdicts map[lineage.Route]originVerdict
 }
 
-// verdict is whether callers of all services send on a route, as of a moment.
-type verdict struct {
-	everywhere bool
-	at         time.Time
+// originVerdict states whether callers of all services use a route, as of a point in
+// time.
+type originVerdict struct {
+	fromAllServices bool
+	computedAt      time.Time
 }
 
-func newRepeatTracker() *repeatTracker {
-	return &repeatTracker{told: map[lineage.Route]time.Time{}, verdicts: map[lineage.Route]verdict{}}
+func newRetryTracker() *retryTracker {
+	return &retryTracker{reported: map[lineage.Route]time.Time{}, verdicts: map[lineage.Route]originVerdict{}}
 }
 
-// lineageRoute is the request's route as package lineage knows it.
-func (k *work) lineageRoute() lineage.Route {
-	return lineage.Route{Mesh: k.hooked.Mesh, Name: k.route}
+// lineageRoute returns the request's route in the form that package lineage uses.
+func (req *backendRequest) lineageRoute() lineage.Route {
+	return lineage.Route{Mesh: req.request.Mesh, Name: req.route}
 }
 
-// begin counts in a request that is handed to a backend server beside this daemon; the
-// function returned counts it out.
-func (t *repeatTracker) begin(k *work) (end func()) {
+// beginRun counts a request that is sent to a backend server of this instance; the
+// returned function removes it again.
+func (t *retryTracker) beginRun(req *backendRequest) (endRun func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k.origin != "" {
-		t.origins.Note(time.Now(), k.lineageRoute(), k.origin)
+	if req.origin != "" {
+		t.origins.Note(time.Now(), req.lineageRoute(), req.origin)
 	}
-	if k.fresh {
+	if req.nonRepeatable {
 		return func() {}
 	}
-	t.runs.Begin(k.repeat)
+	t.runs.Begin(req.retryProbability)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.runs.End(k.repeat)
+		t.runs.End(req.retryProbability)
 	}
 }
 
-// everywhere reports whether callers at the instances of all services send on a route, as
-// seen beside the servers here.
-func (t *repeatTracker) everywhere(route lineage.Route, dir *directory.Directory) bool {
+// fromAllServices reports whether callers on the instances of all services use a route,
+// as seen by the servers of this instance.
+func (t *retryTracker) fromAllServices(route lineage.Route, dir *directory.Directory) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	v, known := t.verdicts[route]
-	if !known || now.Sub(v.at) >= verdictAge {
+	if !known || now.Sub(v.computedAt) >= verdictLifetime {
 		if len(t.verdicts) >= maxVerdicts {
 			clear(t.verdicts)
 		}
-		v = verdict{everywhere: t.origins.Everywhere(now, route, dir.Servers(route.Mesh)), at: now}
+		v = originVerdict{fromAllServices: t.origins.Everywhere(now, route, dir.Servers(route.Mesh)), computedAt: now}
 		t.verdicts[route] = v
 	}
-	return v.everywhere
+	return v.fromAllServices
 }
 
-// hear takes in that another daemon knows this of a route.
-func (t *repeatTracker) hear(route lineage.Route) {
+// recordReport records another daemon's report that callers of all services use a route.
+func (t *retryTracker) recordReport(route lineage.Route) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.told) >= maxVerdicts {
-		clear(t.told)
+	if len(t.reported) >= maxVerdicts {
+		clear(t.reported)
 	}
-	t.told[route] = time.Now()
+	t.reported[route] = time.Now()
 }
 
-// heard reports whether another daemon told of the route lately.
-func (t *repeatTracker) heard(route lineage.Route) bool {
+// hasRecentReport reports whether another daemon has reported the route recently.
+func (t *retryTracker) hasRecentReport(route lineage.Route) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, told := t.told[route]
-	return told && time.Since(at) < toldMemory
+	at, known := t.reported[route]
+	return known && time.Since(at) < reportLifetime
 }
 
-// share is the probability that a call of a run beside this daemon follows from a repeat.
-func (t *repeatTracker) share() float64 {
+// retryShare returns the probability that a call made by a run on this instance follows
+// from a retry.
+func (t *retryTracker) retryShare() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs.Share()
 }
 
-// inherits is the probability that a request that begins here follows from a repeat that
-// runs on a backend server beside. A request that may be a call counts as one.
-func (x *exchange) inherits() float64 {
-	if x.origin == "" && x.told.Depth == 0 {
+// inheritedRetryProbability returns the probability that a request originating here was
+// made by a retried run on a local backend server. A request that may be a call of a
+// backend server counts as one.
+func (x *exchange) inheritedRetryProbability() float64 {
+	if x.origin == "" && x.caller.Depth == 0 {
 		return 0
 	}
-	t, route := x.g.repeats, lineage.Route{Mesh: x.route.Mesh, Name: x.route.Name}
-	share := t.share()
-	if share > 0 && x.told.Depth == 0 && (t.heard(route) || t.everywhere(route, x.dir)) {
+	t, route := x.g.retryTracker, lineage.Route{Mesh: x.route.Mesh, Name: x.route.Name}
+	share := t.retryShare()
+	if share > 0 && x.caller.Depth == 0 && (t.hasRecentReport(route) || t.fromAllServices(route, x.dir)) {
 		return 0
 	}
 	return share
 }
 
-// repeatHeader is the probability that an attempt is a repeat, for the daemon beside the
-// server; "" if it is none.
-func (x *exchange) repeatHeader(repeat bool) string {
+// retryHeader returns the probability that an attempt is a retry, for the daemon on the
+// server's instance; "" if it is not a retry.
+func (x *exchange) retryHeader(retry bool) string {
 	switch {
-	case repeat:
+	case retry:
 		return "1"
-	case x.inherited >= leastRepeat:
-		return strconv.FormatFloat(x.inherited, 'f', 2, 64)
+	case x.inheritedRetry >= minRetryProbability:
+		return strconv.FormatFloat(x.inheritedRetry, 'f', 2, 64)
 	}
 	return ""
 }
 
-// parseRepeat reads what repeatHeader wrote.
-func parseRepeat(text string) float64 {
+// parseRetryProbability parses the result of retryHeader.
+func parseRetryProbability(text string) float64 {
 	p, err := strconv.ParseFloat(text, 64)
 	if err != nil || p < 0 || p > 1 {
 		return 0
@@ -145,23 +148,23 @@
 	return p
 }
 
-// admitRepeat refuses a repeat while calls of repeats before it have overdrawn what this
-// daemon may spend at a service that is called from here.
-func (g *Gateway) admitRepeat(k *work) *refusal {
-	if k.repeat < 1 {
+// admitRetry refuses a retry while the calls made by earlier retried runs have overdrawn
+// this daemon's retry budget for a service that is called from here.
+func (g *Gateway) admitRetry(req *backendRequest) *refusal {
+	if req.retryProbability < 1 {
 		return nil
 	}
 	g.servicesMu.RLock()
 	defer g.servicesMu.RUnlock()
 	for key, s := range g.services {
 		if s.overdrawn() {
-			return refuse(result.RepeatDenied, "calls of repeated runs have used up the repeats at "+key.String())
+			return newRefusal(result.RepeatDenied, "calls made by retried requests have exhausted the retry budget of "+key.String())
 		}
 	}
 	return nil
 }
 
-// overdrawn reports whether calls of repeated runs have cost more than there was.
+// overdrawn reports whether the calls of retried runs have exceeded the retry budget.
 func (s *service) overdrawn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/connection/gateway/requestlog.go
+++ b/internal/connection/gateway/requestlog.go
@@ -13,25 +13,27 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// The messages of the log of requests, at the first daemon and at the one beside
-// the backend server. Package trail finds a request's path by them.
+// The messages of the request log, on the first daemon and on the backend server's
+// instance. Package trail reconstructs a request's path from them.
 const (
-	// LogRefused and LogFailed tell of a final answer that no backend server
-	// gave: of a request that was not run, and of one that may have been.
+	// LogRefused and LogFailed report a final response that does not come from a backend
+	// server: LogRefused for a request that was not run, LogFailed for one that may have
+	// been.
 	LogRefused = "request refused"
 	LogFailed  = "request failed"
-	// LogAttempt tells of an attempt without an answer.
+	// LogAttempt reports an attempt without a response.
 	LogAttempt = "attempt failed"
-	// LogAnswered tells of an answer that came late or not at the first attempt.
+	// LogAnswered reports a response that was late or needed more than one attempt.
 	LogAnswered = "request answered"
-	// LogTurnedAway tells what the daemon beside a backend server did with a
-	// request that got no answer there, LogServed of one that was answered late.
+	// LogTurnedAway and LogServed are logged by the daemon on the backend server's
+	// instance: LogTurnedAway for a request without a response, LogServed for a late
+	// response.
 	LogTurnedAway = "request turned away at the server"
 	LogServed     = "request served late"
 )
 
-// requestLog writes a line for each decision about a request that did not go
-// well, or for those of a share of the requests where there are many.
+// requestLog logs the decisions about requests that failed or were slow. If there are too
+// many, it logs them for a sample of the requests.
 type requestLog struct {
 	log logr.Logger
 	mu  sync.Mutex
@@ -43,8 +45,9 @@
 	return &requestLog{log: log, sampler: sample.New(perSecond)}
 }
 
-// line returns where a line about a request is to be written, and whether it is.
-func (l *requestLog) line(id string) (logr.Logger, bool) {
+// sampledLogger returns the logger for a line about a request, and whether the line is to
+// be written.
+func (l *requestLog) sampledLogger(id string) (logr.Logger, bool) {
 	l.mu.Lock()
 	heldBack, keep := l.sampler.Keep(time.Now(), id)
 	l.mu.Unlock()
@@ -58,15 +61,15 @@
 	return log, true
 }
 
-// logRefusal tells why a caller got an answer that no backend server gave.
+// logRefusal logs why a caller got a response that does not come from a backend server.
 func (x *exchange) logRefusal(r *refusal, outcome result.Outcome) {
-	log, ok := x.g.requests.line(x.told.ID)
+	log, ok := x.g.requestLog.sampledLogger(x.caller.ID)
 	if !ok {
 		return
 	}
 	values := []any{
 		"result", r.Code.String(), "outcome", outcome.String(),
-		"detail", r.Detail, "back", r.back.String(), "took", time.Since(x.seen.start).String(),
+		"detail", r.Detail, "back", r.retryAfter.String(), "took", time.Since(x.observation.start).String(),
 	}
 	if x.route != nil {
 		values = append(values, "route", x.route.Name, "version", x.dir.Snapshot.Version, "attempts", x.attempts,
@@ -82,24 +85,24 @@
 	log.Info(message, values...)
 }
 
-// logAttempt tells of an attempt without an answer.
+// logAttempt logs an attempt without a response.
 func (x *exchange) logAttempt(to *directory.Candidate, number int, r *refusal, took time.Duration) {
-	log, ok := x.g.requests.line(x.told.ID)
+	log, ok := x.g.requestLog.sampledLogger(x.caller.ID)
 	if !ok {
 		return
 	}
 	log.Info(LogAttempt,
 		"attempt", number+1, "to", to.Node.Name, "server", to.Server.Addr, "result", r.Code.String(), "detail", r.Detail,
-		"back", r.back.String(), "took", took.String(), "route", x.route.Name, "version", x.dir.Snapshot.Version)
+		"back", r.retryAfter.String(), "took", took.String(), "route", x.route.Name, "version", x.dir.Snapshot.Version)
 }
 
-// logAnswered tells of an answer that came late or not at the first attempt.
+// logAnswered logs a response that was late or needed more than one attempt.
 func (x *exchange) logAnswered(to *directory.Candidate, status int) {
-	took := time.Since(x.seen.start)
+	took := time.Since(x.observation.start)
 	if x.attempts == 1 && (x.route.Target == 0 || took <= x.route.Target) {
 		return
 	}
-	log, ok := x.g.requests.line(x.told.ID)
+	log, ok := x.g.requestLog.sampledLogger(x.caller.ID)
 	if !ok {
 		return
 	}
@@ -108,22 +111,22 @@
 		"target", x.route.Target.String(), "route", x.route.Name, "version", x.dir.Snapshot.Version)
 }
 
-// logServed tells what the daemon beside a backend server did with a request
-// that got no answer there, or a late one.
-func (g *Gateway) logServed(ctx context.Context, k *work, resp *http.Response, r *refusal, entered time.Time) {
-	if r == nil && (k.useful.IsZero() || time.Now().Before(k.useful)) {
+// logServed logs a request on the backend server's instance that got no response or a
+// late one.
+func (g *Gateway) logServed(ctx context.Context, req *backendRequest, resp *http.Response, r *refusal, entered time.Time) {
+	if r == nil && (req.usefulUntil.IsZero() || time.Now().Before(req.usefulUntil)) {
 		return
 	}
-	log, ok := g.requests.line(k.id)
+	log, ok := g.requestLog.sampledLogger(req.id)
 	if !ok {
 		return
 	}
 	values := []any{
-		"from", k.hooked.HTTP.RemoteAddr, "server", k.addr, "boot", k.boot, "route", k.route,
-		"waited", k.waited.String(), "took", time.Since(entered).String(), "left", time.Until(k.deadline).String(),
+		"from", req.request.HTTP.RemoteAddr, "server", req.addr, "boot", req.boot, "route", req.route,
+		"waited", req.queueTime.String(), "took", time.Since(entered).String(), "left", time.Until(req.deadline).String(),
 	}
-	if b, _ := g.backendAt(k.addr); b != nil {
-		o := b.gate.occupancy(k.addr)
+	if b, _ := g.backendAt(req.addr); b != nil {
+		o := b.gate.occupancy(req.addr)
 		values = append(values, "running", o.Running, "queued", o.Queued, "slots", o.Slots, "usual", b.gate.Load().Service.String())
 	}
 	if r == nil {
--- a/internal/connection/gateway/requestlog_test.go
+++ b/internal/connection/gateway/requestlog_test.go
@@ -13,13 +13,13 @@
 	"github.com/go-logr/logr/funcr"
 )
 
-// record is the lines of one daemon's log.
-type record struct {
+// logRecorder records the log lines of one daemon.
+type logRecorder struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (r *record) logger() logr.Logger {
+func (r *logRecorder) logger() logr.Logger {
 	return funcr.New(func(_, args string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -27,8 +27,8 @@
 	}, funcr.Options{})
 }
 
-// about returns the lines of a message.
-func (r *record) about(message string) []string {
+// withMessage returns the lines with the given message.
+func (r *logRecorder) withMessage(message string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []string
@@ -40,63 +40,63 @@
 	return found
 }
 
-// record makes the lines of a gateway about requests readable.
-func (f *fleetOf) record(gateway int) *record {
-	r := &record{}
-	f.gateways[gateway].requests = newRequestLog(r.logger(), 0)
+// recordLog replaces a gateway's request log with a recorder.
+func (f *testFleet) recordLog(gateway int) *logRecorder {
+	r := &logRecorder{}
+	f.gateways[gateway].requestLog = newRequestLog(r.logger(), 0)
 	return r
 }
 
-// TestPathIsLogged holds that an attempt that was lost and the one that then
-// brought the answer are told of by both daemons, with the request's id.
+// TestPathIsLogged checks that both daemons log a lost attempt, and the first one also
+// the retry that succeeded, with the request's ID.
 func TestPathIsLogged(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 3)
-	f.speak()
-	addr, _ := rawServer(c, func(n int64, r *http.Request, conn net.Conn) bool { return n > 1 && echo(conn, r, "ok") })
-	f.place(2, map[int]string{1: addr})
-	second, _ := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool { return echo(conn, r, "ok") })
-	f.place(2, map[int]string{2: second})
-	first, other := f.record(0), f.record(1)
+	f.useTestDialect()
+	addr, _ := rawServer(c, func(n int64, r *http.Request, conn net.Conn) bool { return n > 1 && writeEcho(conn, r, "ok") })
+	f.addServers(2, map[int]string{1: addr})
+	second, _ := rawServer(c, func(_ int64, r *http.Request, conn net.Conn) bool { return writeEcho(conn, r, "ok") })
+	f.addServers(2, map[int]string{2: second})
+	first, other := f.recordLog(0), f.recordLog(1)
 	for i := range 50 {
 		a := f.do(0, "GET", "/again", nil, "X-Id", "q")
 		c.Assert(a.status, qt.Equals, http.StatusOK)
-		if len(first.about(LogAttempt)) > 0 {
+		if len(first.withMessage(LogAttempt)) > 0 {
 			break
 		}
 		c.Assert(i < 49, qt.IsTrue, qt.Commentf("no attempt went to the server that fails"))
 	}
-	c.Check(first.about(LogAttempt)[0], qt.Contains, `"id"="q"`)
-	c.Check(first.about(LogAttempt)[0], qt.Contains, `"to"="n1"`)
-	c.Check(first.about(LogAnswered)[0], qt.Contains, `"attempts"=2`)
-	c.Assert(other.about(LogTurnedAway), qt.HasLen, 1)
-	c.Check(other.about(LogTurnedAway)[0], qt.Contains, `"id"="q"`)
-	c.Check(other.about(LogTurnedAway)[0], qt.Contains, `"result"="230 AnswerLost"`)
+	c.Check(first.withMessage(LogAttempt)[0], qt.Contains, `"id"="q"`)
+	c.Check(first.withMessage(LogAttempt)[0], qt.Contains, `"to"="n1"`)
+	c.Check(first.withMessage(LogAnswered)[0], qt.Contains, `"attempts"=2`)
+	c.Assert(other.withMessage(LogTurnedAway), qt.HasLen, 1)
+	c.Check(other.withMessage(LogTurnedAway)[0], qt.Contains, `"id"="q"`)
+	c.Check(other.withMessage(LogTurnedAway)[0], qt.Contains, `"result"="230 AnswerLost"`)
 }
 
-// TestRequestLinesAreBounded holds that a flood of refusals leaves no more lines
-// than the settings allow, and that what was held back is counted.
+// TestRequestLinesAreBounded checks that a flood of refusals writes no more lines than
+// configured, and that suppressed lines are counted.
 func TestRequestLinesAreBounded(t *testing.T) {
 	c := qt.New(t)
-	r := &record{}
+	r := &logRecorder{}
 	l := newRequestLog(r.logger(), 5)
 	begin := time.Now()
 	for range 10_000 {
-		if log, ok := l.line("some"); ok {
+		if log, ok := l.sampledLogger("some"); ok {
 			log.Info(LogRefused)
 		}
 	}
 	seconds := int(time.Since(begin)/time.Second) + 2
-	c.Check(len(r.about(LogRefused)) <= 10*seconds, qt.IsTrue)
+	c.Check(len(r.withMessage(LogRefused)) <= 10*seconds, qt.IsTrue)
 	l.sampler.Keep(begin.Add(time.Hour), "")
-	c.Check(len(r.about(LogRefused)) > 0, qt.IsTrue)
+	c.Check(len(r.withMessage(LogRefused)) > 0, qt.IsTrue)
 }
 
-// BenchmarkRequestLine measures a line that is held back: what a flood costs.
+// BenchmarkRequestLine measures a suppressed line, which is the cost of a flood.
 func BenchmarkRequestLine(b *testing.B) {
 	l := newRequestLog(logr.Discard(), 1)
 	for b.Loop() {
-		if log, ok := l.line("9c41d07be2a35f68"); ok {
+		if log, ok := l.sampledLogger("9c41d07be2a35f68"); ok {
 			log.Info(LogRefused)
 		}
 	}
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -18,14 +18,14 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// RolloutConfig is what the gateway keeps to while software versions are exchanged.
+// RolloutConfig holds the gateway's settings for rollouts of software versions.
 type RolloutConfig struct {
-	// Budget is what a version may get before it is judged good.
+	// Budget limits the exposure of a version before it has been judged good.
 	Budget canary.Budget
-	// Touch reports whether the leader was heard of lately; nil is always.
+	// Touch reports whether the leader has been heard from recently; nil means always.
 	Touch func() bool
-	// Failed is told at once when a version under roll-out failed a request; it must not
-	// block. nil tells nobody.
+	// Failed is called immediately when a version under rollout has failed a request. It
+	// must not block; nil disables it.
 	Failed func()
 }
 
@@ -39,13 +39,14 @@
 	return c
 }
 
-// takes reports whether a server's software version takes new requests. The daemon beside the
-// server refuses what another one sends that has not heard of the newest stage.
-func (g *Gateway) takes(s *presence.Server) bool {
+// acceptsVersion reports whether a server's software version accepts new requests. The
+// daemon on the server's instance refuses requests from a daemon that does not know the
+// latest stage yet.
+func (g *Gateway) acceptsVersion(s *presence.Server) bool {
 	return g.cfg.Directory().Snapshot.Takes(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}, s.Version)
 }
 
-// runningRollout returns the roll-out of a service that is not decided yet, or nil.
+// runningRollout returns the undecided rollout of a service, or nil.
 func runningRollout(snap *snapshot.Snapshot, key snapshot.ServiceKey) *fleet.Rollout {
 	if r := snap.Rollout(key); r != nil && r.Stage.Running() {
 		return r
@@ -53,10 +54,10 @@
 	return nil
 }
 
-// enterRollout brings the account of a service in step with its roll-out, nil for none. A
-// request that began under an older version changes nothing: what was counted would be lost.
-// s.mu is held.
-func (g *Gateway) enterRollout(s *service, dir *directory.Directory, r *fleet.Rollout) {
+// updateRollout updates the account of a service to its rollout; r is nil if there is
+// none. A request that started under an older version has no effect: updating to that
+// version would discard the counts so far. The caller must hold s.mu.
+func (g *Gateway) updateRollout(s *service, dir *directory.Directory, r *fleet.Rollout) {
 	if dir.Snapshot.Version < s.version {
 		return
 	}
@@ -67,52 +68,53 @@
 	case s.account != nil && s.account.Of(r):
 		s.account.Enter(r)
 	default:
-		s.account = canary.NewAccount(r, g.cfg.Rollout.Budget, g.credit(dir, r))
+		s.account = canary.NewAccount(r, g.cfg.Rollout.Budget, g.slackCredit(dir, r))
 	}
 }
 
-// creditAge is how long before the order a daemon must have started to have a part of the
-// slack: one that was restarted may have spent it before. It is above what clocks of
-// instances differ by.
-const creditAge = 10 * time.Second
+// minUptimeForCredit is how long before the rollout order a daemon must have started to
+// receive a part of the slack: a restarted daemon may already have spent its part. It
+// exceeds the clock skew between instances.
+const minUptimeForCredit = 10 * time.Second
 
-// credit is this daemon's part of the slack, by its place among all that are known. Each
-// roll-out has another order of them.
-func (g *Gateway) credit(dir *directory.Directory, r *fleet.Rollout) int {
-	if r.Ordered.Sub(g.started) < creditAge {
+// slackCredit returns this daemon's part of the slack, by its rank among all known
+// daemons. The ranking differs from rollout to rollout.
+func (g *Gateway) slackCredit(dir *directory.Directory, r *fleet.Rollout) int {
+	if r.Ordered.Sub(g.started) < minUptimeForCredit {
 		return 0
 	}
 	weight := func(node string) uint64 { return xxhash.Sum64String(node + strconv.FormatUint(r.Number, 10)) }
-	own, place := weight(g.cfg.Self), 0
+	own, rank := weight(g.cfg.Self), 0
 	for _, record := range dir.Records {
 		if weight(record.Node.Name) < own {
-			place++
+			rank++
 		}
 	}
-	return g.cfg.Rollout.Budget.Credit(place, len(dir.Records))
+	return g.cfg.Rollout.Budget.Credit(rank, len(dir.Records))
 }
 
-// bound chooses the software version that a request goes to. s.mu is held.
-func (s *service) bound(r *flow.Request, now time.Time, route string, touch bool) {
+// chooseVersion selects the software version that a request is sent to. The caller must
+// hold s.mu.
+func (s *service) chooseVersion(r *flow.Request, now time.Time, route string, inContact bool) {
 	if s.account != nil {
-		r.Arm, r.Then = s.account.Choose(now, route, touch)
+		r.Arm, r.Then = s.account.Choose(now, route, inContact)
 		r.Otherwise = s.account.Other(r.Then)
 	}
 }
 
-// sent notes where an attempt goes. The service's lock is held.
-func (s *service) sent(to *directory.Candidate) {
+// recordSent records the target of an attempt. The caller must hold s.mu.
+func (s *service) recordSent(to *directory.Candidate) {
 	if s.account != nil && to != nil {
 		s.account.Sent(to.Server.Version)
 	}
 }
 
-// met takes in how an attempt ended that came to a server.
-func (x *exchange) met(to *directory.Candidate, failed bool, took time.Duration) {
+// recordResult records the result of an attempt that reached a server.
+func (x *exchange) recordResult(to *directory.Candidate, failed bool, took time.Duration) {
 	if runningRollout(x.dir.Snapshot, x.target.Key) == nil {
 		return
 	}
-	s := x.course.service
+	s := x.call.service
 	s.mu.Lock()
 	var bad uint64
 	if s.account != nil {
@@ -126,42 +128,42 @@
 	}
 }
 
-// metRefusal takes in an attempt without an answer, as far as its server is to blame.
-func (x *exchange) metRefusal(to *directory.Candidate, r *refusal, took time.Duration) {
+// recordRefusal records an attempt without a response if the server caused the failure.
+func (x *exchange) recordRefusal(to *directory.Candidate, r *refusal, took time.Duration) {
 	switch r.Code {
 	case result.AnswerLost, result.BackendCrashed, result.DeadlineExceeded:
-		x.met(to, true, cmp.Or(x.serverTook, took))
+		x.recordResult(to, true, cmp.Or(x.serverTook, took))
 	}
 }
 
-// metAnswer takes in an answer that was passed on, or cut on the way by its server.
-func (x *exchange) metAnswer(status int, whole bool) {
-	if x.answeredBy == nil || (!whole && x.r.Context().Err() != nil) {
+// recordResponse records a response that was relayed, or that its server truncated.
+func (x *exchange) recordResponse(status int, complete bool) {
+	if x.respondingServer == nil || (!complete && x.r.Context().Err() != nil) {
 		return
 	}
-	x.met(x.answeredBy, !whole || status >= http.StatusInternalServerError, x.serverTook)
+	x.recordResult(x.respondingServer, !complete || status >= http.StatusInternalServerError, x.serverTook)
 }
 
-// tellTook puts the time that the server beside this daemon took into an answer, while a
-// roll-out of its service runs.
-func (g *Gateway) tellTook(h http.Header, k *work) {
-	if k.took > 0 && runningRollout(g.cfg.Directory().Snapshot, snapshot.ServiceKey{Mesh: k.hooked.Mesh, Name: k.hooked.Service}) != nil {
-		h.Set(headerTook, microseconds(k.took))
+// writeServerTime adds the processing time of the local server to a response while a
+// rollout of its service is running.
+func (g *Gateway) writeServerTime(h http.Header, req *backendRequest) {
+	if req.serverTime > 0 && runningRollout(g.cfg.Directory().Snapshot, snapshot.ServiceKey{Mesh: req.request.Mesh, Name: req.request.Service}) != nil {
+		h.Set(headerTook, formatMicroseconds(req.serverTime))
 	}
 }
 
-// ServiceTally is what this daemon has met of one roll-out.
+// ServiceTally is what this daemon has counted for one rollout.
 type ServiceTally struct {
 	Key     snapshot.ServiceKey
 	Number  uint64
 	Tally   canary.Tally
 	Tripped string
-	// Running are the requests at servers beside this daemon that are not of the target
-	// version, waiting ones included.
+	// Running is the number of requests, including queued ones, at servers of this
+	// instance that do not have the target version.
 	Running int
 }
 
-// Rollouts lists the roll-outs that run, by service.
+// Rollouts returns the running rollouts, sorted by service.
 func (g *Gateway) Rollouts() []ServiceTally {
 	dir := g.cfg.Directory()
 	var list []ServiceTally
@@ -169,10 +171,10 @@
 		if !r.Stage.Running() {
 			continue
 		}
-		t := ServiceTally{Key: key, Number: r.Number, Running: g.runningBeside(key, r.Target)}
+		t := ServiceTally{Key: key, Number: r.Number, Running: g.runningOnOtherVersions(key, r.Target)}
 		s := g.service(key)
 		s.mu.Lock()
-		g.enterRollout(s, dir, r)
+		g.updateRollout(s, dir, r)
 		known := s.account != nil && s.account.Of(r)
 		if known {
 			t.Tally, t.Tripped = s.account.Tally(), s.account.Tripped()
@@ -186,9 +188,9 @@
 	return list
 }
 
-// runningBeside counts the requests at servers of a service beside this daemon that are not
-// of a software version.
-func (g *Gateway) runningBeside(key snapshot.ServiceKey, version string) int {
+// runningOnOtherVersions counts the requests at servers of a service on this instance
+// that do not have the given software version.
+func (g *Gateway) runningOnOtherVersions(key snapshot.ServiceKey, version string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum := 0
--- a/internal/connection/gateway/running.go
+++ b/internal/connection/gateway/running.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Running is the number of requests in progress on a backend server beside
-// this daemon; 0 for one that is not known.
+// Running returns the number of requests in progress on a backend server of this
+// instance, or 0 if the server is unknown.
 func (g *Gateway) Running(server string) int {
 	g.mu.Lock()
 	b := g.backends[server]
