--- a/internal/connection/gateway/serve.go
+++ b/internal/connection/gateway/serve.go
@@ -13,143 +13,145 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// work is a request on its way to a backend server beside this daemon.
-type work struct {
-	hooked   *Request
+// backendRequest is a request for a backend server of this instance.
+type backendRequest struct {
+	request  *Request
 	body     *requestBody
 	addr     string
 	priority int
 	depth    int
 	deadline time.Time
-	// remote requests came from another daemon, over the link.
+	// remote is set if the request came from another daemon over the link.
 	remote bool
-	// fresh requests may not be repeated.
-	fresh bool
-	// route names the route in its mesh; requests of one take about the same time.
+	// nonRepeatable is set if the request must not be sent twice.
+	nonRepeatable bool
+	// route is the route's name within its mesh. Requests on the same route take about
+	// the same time.
 	route string
-	// useful is when an answer has lost most of its worth; zero is not known.
-	useful time.Time
-	// id is the caller's name for the request, or "".
+	// usefulUntil is when the response loses most of its value; zero means unknown.
+	usefulUntil time.Time
+	// id is the caller's ID for the request, or "".
 	id string
-	// origin is the service of the instance where the request began, or "".
+	// origin is the service of the instance where the request originated, or "".
 	origin string
-	// repeat is the probability that the request is a repeat.
-	repeat float64
-	// boot is the start of the server that the request was let in for, or "".
+	// retryProbability is the probability that the request is a retry.
+	retryProbability float64
+	// boot identifies the start of the server for which the request was admitted, or is
+	// "".
 	boot string
-	// answered tells the link that the answer begins to leave, or will not. It may be
-	// called more than once.
-	answered func()
-	// waited is how long the request stood in the queue, took how long the server took up to
-	// the answer's header or the loss of it.
-	waited, took time.Duration
+	// releaseResponse tells the link that the response starts to be sent or will not be
+	// sent. It may be called more than once.
+	releaseResponse func()
+	// queueTime is the time spent in the queue. serverTime is the time the server took
+	// until the response header arrived or was lost.
+	queueTime, serverTime time.Duration
 }
 
-// serve runs a request on a backend server beside this daemon. The slot is held
-// until the server is done with it. The answer's body must be closed.
-func (g *Gateway) serve(ctx context.Context, k *work) (*http.Response, *refusal) {
+// serve runs a request on a backend server of this instance. The slot is held until the
+// server has finished with it. The caller must close the response body.
+func (g *Gateway) serve(ctx context.Context, req *backendRequest) (*http.Response, *refusal) {
 	entered := time.Now()
-	resp, refused := g.admitAndHand(ctx, k)
-	g.logServed(ctx, k, resp, refused, entered)
+	resp, refused := g.admitAndSend(ctx, req)
+	g.logServed(ctx, req, resp, refused, entered)
 	return resp, refused
 }
 
-func (g *Gateway) admitAndHand(ctx context.Context, k *work) (*http.Response, *refusal) {
-	b, server := g.backendAt(k.addr)
-	if b == nil || g.leaving.Load() || !k.isFor(&server) {
-		return nil, refuse(result.Draining, "no new work for "+k.addr+" here")
+func (g *Gateway) admitAndSend(ctx context.Context, req *backendRequest) (*http.Response, *refusal) {
+	b, server := g.backendAt(req.addr)
+	if b == nil || g.shuttingDown.Load() || !req.matchesService(&server) {
+		return nil, newRefusal(result.Draining, "requests for "+req.addr+" are not accepted by this daemon")
 	}
-	if !g.takes(&server) {
-		return nil, refuse(result.VersionRetired, "version "+server.Version+" of "+k.addr)
+	if !g.acceptsVersion(&server) {
+		return nil, newRefusal(result.VersionRetired, "version "+server.Version+" of "+req.addr)
 	}
-	if refused := g.admitRepeat(k); refused != nil {
+	if refused := g.admitRetry(req); refused != nil {
 		return nil, refused
 	}
-	if refused := g.admitSuspect(k); refused != nil {
+	if refused := g.admitSuspect(req); refused != nil {
 		return nil, refused
 	}
-	if refused := g.letBodyIn(ctx, b.gate, k); refused != nil {
+	if refused := g.admitLargeBody(ctx, b.gate, req); refused != nil {
 		return nil, refused
 	}
-	answered, refused := g.link.admitAnswer(k, b.gate.usual(k.route))
+	releaseResponse, refused := g.link.admitResponse(req, b.gate.typicalTime(req.route))
 	if refused != nil {
-		k.body.leave()
+		req.body.finish()
 		return nil, refused
 	}
-	k.answered = answered
+	req.releaseResponse = releaseResponse
 	entered := time.Now()
-	refused = b.gate.Enter(ctx, k.ticket(entered))
-	k.waited = time.Since(entered)
+	refused = b.gate.Acquire(ctx, req.ticket(entered))
+	req.queueTime = time.Since(entered)
 	if refused != nil {
-		k.body.leave()
-		g.cfg.Observer.Refused(Refused{Server: k.addr, Code: refused.Code, Waited: k.waited})
+		req.body.finish()
+		g.cfg.Observer.Refused(Refused{Server: req.addr, Code: refused.Code, Waited: req.queueTime})
 		return nil, refused
 	}
-	if refused := g.admitSuspect(k); refused != nil {
-		b.gate.Leave("", 0)
+	if refused := g.admitSuspect(req); refused != nil {
+		b.gate.Release("", 0)
 		return nil, refused
 	}
-	k.boot = server.Boot
-	resp, refused := g.hand(ctx, b, k)
-	b.gate.Ended(resp, refused)
+	req.boot = server.Boot
+	resp, refused := g.sendToBackend(ctx, b, req)
+	b.gate.RecordResult(resp, refused)
 	return resp, refused
 }
 
-// letBodyIn waits until a large body may come over the link. What would be refused
-// now is refused before.
-func (g *Gateway) letBodyIn(ctx context.Context, gate *gate, k *work) *refusal {
-	if !g.link.shares(k) {
+// admitLargeBody waits until a large body may be received over the link. Requests that
+// admission would refuse now are refused before the wait.
+func (g *Gateway) admitLargeBody(ctx context.Context, gate *gate, req *backendRequest) *refusal {
+	if !g.link.schedulesBody(req) {
 		return nil
 	}
-	if refused := gate.Would(k.ticket(time.Now())); refused != nil {
+	if refused := gate.WouldRefuse(req.ticket(time.Now())); refused != nil {
 		return refused
 	}
-	return g.link.enter(ctx, k, gate.usual(k.route))
+	return g.link.admitBody(ctx, req, gate.typicalTime(req.route))
 }
 
-// isFor reports whether the server at the address still is one of the service: an
-// address may belong to another service by now.
-func (k *work) isFor(s *presence.Server) bool {
-	return s.Mesh == k.hooked.Mesh && s.Service == k.hooked.Service
+// matchesService reports whether the server at the address still belongs to the request's
+// service: the address may have been reused by another service.
+func (req *backendRequest) matchesService(s *presence.Server) bool {
+	return s.Mesh == req.request.Mesh && s.Service == req.request.Service
 }
 
-// hand passes a request that has its slot to the backend server.
-func (g *Gateway) hand(ctx context.Context, b *backend, k *work) (*http.Response, *refusal) {
-	out := k.body.outgoing(k.hooked.HTTP)
+// sendToBackend sends a request that holds its slot to the backend server.
+func (g *Gateway) sendToBackend(ctx context.Context, b *backend, req *backendRequest) (*http.Response, *refusal) {
+	out := req.body.outgoing(req.request.HTTP)
 	out.Added = g.cfg.Dialect.Server(ServerTold{
-		Left: time.Until(k.deadline), Depth: k.depth + 1, Boot: k.boot, Origin: k.origin,
+		Left: time.Until(req.deadline), Depth: req.depth + 1, Boot: req.boot, Origin: req.origin,
 	})
 	out.IdleAge = backendIdleTimeout
-	if k.fresh {
-		out.IdleAge = recentIdle
+	if req.nonRepeatable {
+		out.IdleAge = nonRepeatableIdleAge
 	}
 	span := g.cfg.Tracer.Send(ctx, HopBackend, out.Added)
-	span.Set(SpanServer, k.addr)
-	b.count(k.repeat)
-	run := g.begin(k.addr, k.hooked)
+	span.Set(SpanServer, req.addr)
+	b.countRequest(req.retryProbability)
+	run := g.beginRun(req.addr, req.request)
 	var took time.Duration
-	ended := g.repeats.begin(k)
+	endRun := g.retryTracker.beginRun(req)
 	out.Done = func() {
-		ended()
-		b.gate.Leave(k.route, took)
+		endRun()
+		b.gate.Release(req.route, took)
 	}
 	start := time.Now()
 	resp, failure := b.pool.RoundTrip(ctx, out)
-	k.took = time.Since(start)
+	req.serverTime = time.Since(start)
 	if failure != nil {
-		refused := classify(ctx, failure, result.BackendRefused)
+		refused := classifyFailure(ctx, failure, result.BackendRefused)
 		if errors.Is(failure, syscall.ECONNREFUSED) {
-			g.cfg.Refused(k.addr)
+			g.cfg.Refused(req.addr)
 		}
-		if run.End(fateOf(refused.Code)) {
-			refused = refuse(result.BackendCrashed, failure.Error())
+		if run.End(runStatusOf(refused.Code)) {
+			refused = newRefusal(result.BackendCrashed, failure.Error())
 		}
 		span.End(refused.Code)
 		return nil, refused
 	}
-	took = k.took
-	resp.Body = &watchedBody{ReadCloser: resp.Body, ctx: ctx, run: run}
-	refused := g.accept(ctx, k, resp)
+	took = req.serverTime
+	resp.Body = &trackedBody{ReadCloser: resp.Body, ctx: ctx, run: run}
+	refused := g.checkResponse(ctx, req, resp)
 	span.End(codeOf(refused))
 	if refused != nil {
 		return nil, refused
@@ -157,63 +159,65 @@
 	return resp, nil
 }
 
-// accept reads what a backend server says of its answer and holds a small one.
-// An answer to another request was left on the connection by a server that
-// answered twice, or too late.
-func (g *Gateway) accept(ctx context.Context, k *work, resp *http.Response) *refusal {
-	told := g.cfg.Dialect.Answer(resp.StatusCode, resp.Header)
+// checkResponse evaluates the response metadata of a backend server and buffers a small
+// response. A response to another request was left on the connection by a server that
+// answered twice or too late.
+func (g *Gateway) checkResponse(ctx context.Context, req *backendRequest, resp *http.Response) *refusal {
+	metadata := g.cfg.Dialect.Answer(resp.StatusCode, resp.Header)
 	switch {
-	case told.ID != "" && told.ID != k.id:
+	case metadata.ID != "" && metadata.ID != req.id:
 		_ = resp.Body.Close()
-		return refuse(result.AnswerLost, "the server answered another request")
-	case told.Misdirected:
+		return newRefusal(result.AnswerLost, "the response belongs to another request")
+	case metadata.Misdirected:
 		_ = resp.Body.Close()
-		g.cfg.Misdirected(k.addr, k.boot)
-		return refuse(result.WrongServer, "the server at "+k.addr+" is not "+k.boot)
-	case told.NotRun:
+		g.cfg.Misdirected(req.addr, req.boot)
+		return newRefusal(result.WrongServer, "the server at "+req.addr+" is not boot "+req.boot)
+	case metadata.NotRun:
 		_ = resp.Body.Close()
 		return &refusal{Error: result.Errorf(result.ServerRefused, "status %d", resp.StatusCode)}
 	}
-	if err := g.held.hold(resp); err != nil {
-		return lostAnswer(ctx, err)
+	if err := g.responseBuffer.bufferResponse(resp); err != nil {
+		return lostResponse(ctx, err)
 	}
 	return nil
 }
 
-// lostAnswer says what an answer that was cut tells about the request.
-func lostAnswer(ctx context.Context, err error) *refusal {
-	return classify(ctx, &upstream.Failure{Sent: true, Err: err}, result.AnswerLost)
+// lostResponse returns the refusal for a request whose response was truncated.
+func lostResponse(ctx context.Context, err error) *refusal {
+	return classifyFailure(ctx, &upstream.Failure{Sent: true, Err: err}, result.AnswerLost)
 }
 
-// outgoing is the request as it is sent on, less what the receiver needs.
+// outgoing returns the request to send upstream, without the headers specific to its
+// receiver.
 func (b *requestBody) outgoing(r *http.Request) *upstream.Request {
 	out := &upstream.Request{
-		Method: r.Method, Target: target(r), Host: r.Host,
-		Header: r.Header, Skip: skipped(r.Header), Small: b.small, Stall: stallMax,
+		Method: r.Method, Target: requestTarget(r), Host: r.Host,
+		Header: r.Header, Skip: skipHeader(r.Header), Small: b.buffered, Stall: maxStall,
 	}
-	if b.stream {
-		out.Body, out.Length, out.Trailer, out.AbortBody = b, b.length(), r.Trailer, b.abort
+	if b.streamed {
+		out.Body, out.Length, out.Trailer, out.AbortBody = b, b.contentLength(), r.Trailer, b.abortRead
 	}
 	return out
 }
 
-// classify says what a failed attempt tells about the request.
-func classify(ctx context.Context, f *upstream.Failure, unreachable result.Code) *refusal {
+// classifyFailure maps a failed attempt to the refusal that states what is known about
+// the request.
+func classifyFailure(ctx context.Context, f *upstream.Failure, unreachable result.Code) *refusal {
 	expired := deadlinePassed(ctx)
 	switch {
 	case expired && !f.Sent:
-		return refuse(result.DeadlineTooShort, f.Error())
+		return newRefusal(result.DeadlineTooShort, f.Error())
 	case expired:
-		return refuse(result.DeadlineExceeded, f.Error())
+		return newRefusal(result.DeadlineExceeded, f.Error())
 	case ctx.Err() != nil || errors.Is(f, upstream.ErrBody):
-		return refuse(result.CallerLeft, f.Error())
+		return newRefusal(result.CallerLeft, f.Error())
 	case !f.Sent:
-		return refuse(unreachable, f.Error())
+		return newRefusal(unreachable, f.Error())
 	}
-	return refuse(result.AnswerLost, f.Error())
+	return newRefusal(result.AnswerLost, f.Error())
 }
 
-func fateOf(c result.Code) Fate {
+func runStatusOf(c result.Code) RunStatus {
 	switch c {
 	case result.BackendRefused, result.DeadlineTooShort:
 		return Unsent
--- a/internal/connection/gateway/service.go
+++ b/internal/connection/gateway/service.go
@@ -13,12 +13,12 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// service is a flow.Service that goroutines share.
+// service is a flow.Service shared between goroutines.
 type service struct {
 	mu   sync.Mutex
 	core *flow.Service
-	// account is nil while no roll-out of the service runs; version is the newest fleet version
-	// that it was brought in step with.
+	// account is nil while no rollout of the service is running. version is the newest
+	// fleet version that account was updated to.
 	account *canary.Account
 	version uint64
 }
@@ -33,7 +33,7 @@
 	g.servicesMu.Lock()
 	defer g.servicesMu.Unlock()
 	if s = g.services[key]; s == nil {
-		s = &service{core: flow.NewService(g.place(), g)}
+		s = &service{core: flow.NewService(g.location(), g)}
 		s.core.Table.LinkBytes = g.cfg.LinkBytes
 		s.core.Table.Ejected = func(c *directory.Candidate, end balance.End, d time.Duration) {
 			g.log.Info("backend server passed over for a while", "service", key.String(), "server", c.Server.Addr, "to", c.Node.Name, "why", end.String(), "for", d.String())
@@ -43,51 +43,51 @@
 	return s
 }
 
-// course is a flow.Call whose service is locked for each step.
-type course struct {
+// lockedCall is a flow.Call that holds its service's lock during each step.
+type lockedCall struct {
 	service *service
 	call    *flow.Call
 }
 
-func (g *Gateway) beginCall(s *service, dir *directory.Directory, target *snapshot.Service, route string, r flow.Request) (*course, flow.Action) {
-	limits, touch := g.cfg.Retry(), true
+func (g *Gateway) beginCall(s *service, dir *directory.Directory, target *snapshot.Service, route string, r flow.Request) (*lockedCall, flow.Action) {
+	limits, inContact := g.cfg.Retry(), true
 	running := runningRollout(dir.Snapshot, target.Key)
 	if running != nil {
-		touch = g.cfg.Rollout.Touch()
+		inContact = g.cfg.Rollout.Touch()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Table.Update(dir.Candidates(target.Key), target.SlowStart)
 	s.core.SetRetryLimits(limits)
-	g.enterRollout(s, dir, running)
-	s.bound(&r, time.Now(), route, touch)
+	g.updateRollout(s, dir, running)
+	s.chooseVersion(&r, time.Now(), route, inContact)
 	call, action := s.core.Begin(time.Now(), rand.Uint64(), r)
-	s.sent(action.Candidate)
-	return &course{service: s, call: call}, action
+	s.recordSent(action.Candidate)
+	return &lockedCall{service: s, call: call}, action
 }
 
-// told takes in the load of a server.
-func (c *course) told(to *directory.Candidate, l balance.Load) {
+// updateLoad records the reported load of a server.
+func (c *lockedCall) updateLoad(to *directory.Candidate, l balance.Load) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	c.service.core.Table.Told(time.Now(), to, l)
 }
 
-func (c *course) answered() flow.Action {
+func (c *lockedCall) answered() flow.Action {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	return c.call.Answered()
 }
 
-func (c *course) relayed(whole bool) {
+func (c *lockedCall) relayed(complete bool) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
-	c.call.Relayed(time.Now(), whole)
+	c.call.Relayed(time.Now(), complete)
 }
 
-// failed takes in the end of an attempt without an answer; final tells that the
-// request must not be sent again.
-func (c *course) failed(r *refusal, final bool) flow.Action {
+// failed records the end of an attempt without a response. final is set if the request
+// must not be sent again.
+func (c *lockedCall) failed(r *refusal, final bool) flow.Action {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
 	if final {
@@ -100,7 +100,7 @@
 	case result.CallerLeft:
 		return c.call.CallerLeft(now)
 	}
-	action := c.call.Refused(now, rand.Uint64(), r.Code, r.back)
-	c.service.sent(action.Candidate)
+	action := c.call.Refused(now, rand.Uint64(), r.Code, r.retryAfter)
+	c.service.recordSent(action.Candidate)
 	return action
 }
--- a/internal/connection/gateway/start.go
+++ b/internal/connection/gateway/start.go
@@ -5,75 +5,79 @@
 	"time"
 )
 
-// What callers meet at a daemon that has just started. When a whole fleet starts, its daemons
-// come by a version one after the other within seconds; a caller that is refused meanwhile
-// comes back once, mostly to another daemon that has none either. So a request waits for the
-// end of the start as long as that is near, and is refused at once where it is not.
+// Limits for requests that arrive while the daemon is starting. When a whole fleet
+// starts, its daemons obtain a version one after another within seconds. A caller that is
+// refused meanwhile retries once, usually at another daemon that has no version either.
+// So a request waits while startup is expected to finish soon, and is refused immediately
+// otherwise.
 const (
-	// startLatest is how long after its start a daemon takes its first version for near.
-	startLatest = 2 * time.Second
-	// startPoll is how often a waiting request looks.
-	startPoll = 10 * time.Millisecond
-	// startMost bounds the requests that wait at one daemon, and the memory they take.
-	startMost = 256
-	// startSoon is the least time that a refused caller is told, startUsual what a
-	// daemon whose sources run takes for its start.
-	startSoon  = 100 * time.Millisecond
-	startUsual = 600 * time.Millisecond
-	// startPart is the part of a caller's time that it waits here, or is told to stay
-	// away: the rest is for the answer.
-	startPart = 3
+	// maxStartupDuration is how long after its start a daemon still expects its first
+	// version to arrive soon.
+	maxStartupDuration = 2 * time.Second
+	// startupPollInterval is how often a waiting request checks readiness.
+	startupPollInterval = 10 * time.Millisecond
+	// maxStartupWaiters bounds the requests that wait on one daemon, and the memory they
+	// use.
+	maxStartupWaiters = 256
+	// minStartupRetryAfter is the shortest retry delay given to a refused caller.
+	// typicalStartupDuration is the startup time of a daemon whose sources are running.
+	minStartupRetryAfter   = 100 * time.Millisecond
+	typicalStartupDuration = 600 * time.Millisecond
+	// callerTimeDivisor determines the part of the caller's remaining time (one in
+	// callerTimeDivisor) that it may wait or be told to stay away; the rest is for the
+	// response.
+	callerTimeDivisor = 3
 )
 
-// startWait is how long a request may wait for the end of a start, after which the daemon
-// has been up for so long; left is the time that its caller has, 0 if it does not tell.
-func startWait(up, left time.Duration) time.Duration {
-	wait := startLatest - up
+// startupWait returns how long a request may wait for startup to finish when the daemon
+// has been up for the given time. left is the caller's remaining time, or 0 if unknown.
+func startupWait(up, left time.Duration) time.Duration {
+	wait := maxStartupDuration - up
 	if left > 0 {
-		wait = min(wait, left/startPart)
+		wait = min(wait, left/callerTimeDivisor)
 	}
 	return max(wait, 0)
 }
 
-// startBack is when a caller that was refused meanwhile may come back.
-func startBack(up, left time.Duration) time.Duration {
-	back := max(startSoon, startUsual-up)
+// startupRetryAfter returns when a caller that was refused during startup may retry.
+func startupRetryAfter(up, left time.Duration) time.Duration {
+	retryAfter := max(minStartupRetryAfter, typicalStartupDuration-up)
 	if left > 0 {
-		back = min(back, left/startPart)
+		retryAfter = min(retryAfter, left/callerTimeDivisor)
 	}
-	return back
+	return retryAfter
 }
 
-// untilReady is startBack for a caller with so much time left.
-func (g *Gateway) untilReady(left time.Duration) time.Duration {
-	return startBack(time.Since(g.started), left)
+// readyRetryAfter returns startupRetryAfter for a caller with the given time left.
+func (g *Gateway) readyRetryAfter(left time.Duration) time.Duration {
+	return startupRetryAfter(time.Since(g.started), left)
 }
 
-// awaitStart waits until ready holds, at most as long as startWait says, and reports
-// whether it does.
-func (g *Gateway) awaitStart(ctx context.Context, left time.Duration, ready func() bool) bool {
+// awaitReady waits until ready returns true, at most for startupWait, and reports whether
+// it did.
+func (g *Gateway) awaitReady(ctx context.Context, left time.Duration, ready func() bool) bool {
 	if ready() {
 		return true
 	}
-	wait := startWait(time.Since(g.started), left)
-	if wait == 0 || g.leaving.Load() {
+	wait := startupWait(time.Since(g.started), left)
+	if wait == 0 || g.shuttingDown.Load() {
 		return false
 	}
-	defer g.starting.Add(-1)
-	if g.starting.Add(1) > startMost {
+	defer g.startupWaiters.Add(-1)
+	if g.startupWaiters.Add(1) > maxStartupWaiters {
 		return false
 	}
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	look := time.NewTicker(startPoll)
-	defer look.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
+	poll := time.NewTicker(startupPollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case <-look.C:
+		case <-poll.C:
 			if ready() {
 				return true
 			}
-		case <-end.C:
+		case <-timeout.C:
 			return ready()
 		case <-ctx.Done():
 			return false
--- a/internal/connection/gateway/watch.go
+++ b/internal/connection/gateway/watch.go
@@ -6,43 +6,42 @@
 	"sync"
 )
 
-// watchedBody is the body of an answer of a backend server; its end ends the
-// run.
-type watchedBody struct {
+// trackedBody is the response body of a backend server. Closing it ends the run.
+type trackedBody struct {
 	io.ReadCloser
-	ctx  context.Context
-	run  Run
-	end  error
-	once sync.Once
+	ctx     context.Context
+	run     Run
+	readErr error
+	once    sync.Once
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
-		b.end = err
+		b.readErr = err
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *watchedBody) Close() error {
+func (b *trackedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(func() { _ = b.run.End(b.fate()) })
+	b.once.Do(func() { _ = b.run.End(b.status()) })
 	return err
 }
 
-// Buffered implements buffered.
-func (b *watchedBody) Buffered() bool {
-	inner, ok := b.ReadCloser.(buffered)
+// Buffered implements bufferedReader.
+func (b *trackedBody) Buffered() bool {
+	inner, ok := b.ReadCloser.(bufferedReader)
 	return ok && inner.Buffered()
 }
 
-func (b *watchedBody) fate() Fate {
+func (b *trackedBody) status() RunStatus {
 	switch {
-	case b.end == io.EOF:
+	case b.readErr == io.EOF:
 		return Finished
-	case b.end == nil || b.ctx.Err() != nil:
+	case b.readErr == nil || b.ctx.Err() != nil:
 		return Cancelled
 	}
 	return Crashed
