--- a/internal/process/quorum/node.go
+++ b/internal/process/quorum/node.go
@@ -157,7 +157,7 @@
 // the others'; what was applied stays readable.
 func (n *Node[R]) fail(err error) {
 	n.failed = err
-	n.core.Resign()
+	n.core.StepDown()
 	n.observedTerm = n.core.Term()
 	n.log.Error(err, "this source has failed: nothing is accepted here any more")
 	n.dropWaiters(result.Errorf(result.CommitUnknown, "%v", err))
--- a/internal/process/replica/core.go
+++ b/internal/process/replica/core.go
@@ -8,42 +8,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrNotLeader is returned by Propose on a member that does not lead.
+// ErrNotLeader is returned by Propose on a member that is not the leader.
 var ErrNotLeader = errors.New("not the leader")
 
-// Config is fixed for the life of a Core.
+// Config configures a Core. It does not change during the lifetime of the Core.
 type Config struct {
-	// ID is this member's name; Members lists all, this one included.
+	// ID is the name of this member. Members lists all members, including this one.
 	ID      string
 	Members []string
-	// Joins keeps a member whose folder is new out of the founding of the group:
-	// it waits to be admitted.
+	// Joins prevents a member with a new data directory from bootstrapping a group; it
+	// waits to be admitted to an existing one.
 	Joins bool
-	// ReplaceTicks is how long a voter has to be silent before a newcomer may
-	// take its place; 0 never lets one.
+	// ReplaceTicks is how long a voter must be silent before a newcomer may replace
+	// it; 0 disables replacement.
 	ReplaceTicks int
-	// Voters is how many voters the group grows to as newcomers ask; fewer than
-	// founded it is no growth.
+	// Voters is the number of voters up to which the group grows when newcomers ask to
+	// join. A value below the number of bootstrapping members disables growth.
 	Voters int
-	// ElectionTicks is the least number of ticks without a leader before a
-	// campaign; the actual number is drawn from [ElectionTicks, 2*ElectionTicks).
+	// ElectionTicks is the minimum number of ticks without a leader before a member
+	// campaigns. The actual number is drawn from [ElectionTicks, 2*ElectionTicks).
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between a leader's heartbeats.
 	HeartbeatTicks int
-	// FirstTicks takes the place of ElectionTicks until a member that was just
-	// started knows a leader; 0 does not. A leader that is alive is not deposed by
-	// it, for a pre-vote goes first; a group of which all members were restarted
-	// has its leader sooner.
+	// FirstTicks replaces ElectionTicks from process start until a leader is known, so
+	// that a group whose members were all restarted elects a leader sooner; 0 disables
+	// it. It cannot depose a live leader, because of the pre-vote.
 	FirstTicks int
-	// Seed makes the drawn timeouts reproducible.
+	// Seed makes the random timeouts reproducible.
 	Seed uint64
 }
 
-// Core is the state machine of one member. It is not safe for concurrent use.
+// Core is the consensus state machine of one member. It is not safe for concurrent
+// use.
 type Core struct {
-	cfg    Config
-	others []string
-	// group identifies the group by the members that founded it.
+	cfg   Config
+	peers []string
+	// group is a hash of the names of the members that bootstrapped the group; 0 if it
+	// is not known yet.
 	group uint64
 	rand  *rand.Rand
 
@@ -55,63 +56,66 @@
 
 	membership        Membership
 	membershipChanged bool
-	// seen holds, on a fresh member, the disks of the others that agreed.
-	seen map[string]uint64
-	// guide is the leader that another member named to one without a vote, or "".
-	guide string
-	// vouched is set on a fresh member once a voter knows it under its disk.
-	vouched bool
-	// repairTarget is the commit index a learner was first told of.
+	// confirmedDisks holds, on a new member, the disks of the peers that confirmed it
+	// as new or as known under its current disk.
+	confirmedDisks map[string]uint64
+	// leaderHint is, on a member without a vote, the leader named by another member,
+	// or "".
+	leaderHint string
+	// knownToVoter is set on a new member once a voter knows it under its current
+	// disk.
+	knownToVoter bool
+	// repairTarget is the first commit index that a learner received.
 	repairTarget uint64
-	// admitted is set when this member became a voter in this process's life.
+	// admitted is set if this member became a voter since the process started.
 	admitted bool
 
-	votes    map[string]ballot
+	votes    map[string]voteScope
 	progress map[string]*progress
 
-	// starting is set until a leader is known for the first time.
-	starting         bool
-	electionElapsed  int
-	electionTimeout  int
-	heartbeatElapsed int
-
-	// saved is the last HardState handed to the driver.
-	saved       HardState
-	newSnapshot *Snapshot
-	messages    []Message
-	// handed is the last index handed out in Ready.Entries.
-	handed uint64
+	// awaitingFirstLeader is set until a leader is known for the first time.
+	awaitingFirstLeader bool
+	electionElapsed     int
+	electionTimeout     int
+	heartbeatElapsed    int
+
+	// lastHardState is the last HardState returned in Ready.
+	lastHardState HardState
+	newSnapshot   *Snapshot
+	messages      []Message
+	// emitted is the last index returned in Ready.Entries.
+	emitted uint64
 }
 
-// New builds a Core from what was durable.
+// New returns a Core with the state read from disk.
 func New(cfg Config, restored Restored) *Core {
 	c := &Core{
-		cfg:        cfg,
-		others:     slices.DeleteFunc(slices.Clone(cfg.Members), func(id string) bool { return id == cfg.ID }),
-		group:      groupHash(cfg.Members),
-		rand:       rand.New(rand.NewPCG(cfg.Seed, 1)),
-		term:       restored.HardState.Term,
-		vote:       restored.HardState.Vote,
-		saved:      restored.HardState,
-		membership: restored.Membership,
-		seen:       map[string]uint64{},
-		starting:   cfg.FirstTicks > 0,
+		cfg:                 cfg,
+		peers:               slices.DeleteFunc(slices.Clone(cfg.Members), func(id string) bool { return id == cfg.ID }),
+		group:               groupHash(cfg.Members),
+		rand:                rand.New(rand.NewPCG(cfg.Seed, 1)),
+		term:                restored.HardState.Term,
+		vote:                restored.HardState.Vote,
+		lastHardState:       restored.HardState,
+		membership:          restored.Membership,
+		confirmedDisks:      map[string]uint64{},
+		awaitingFirstLeader: cfg.FirstTicks > 0,
 	}
-	c.beginMembership()
+	c.initMembership()
 	c.log.restore(restored.Snapshot)
 	c.log.entries = slices.Clone(restored.Entries)
 	c.log.stable = c.log.last()
-	c.handed = c.log.last()
+	c.emitted = c.log.last()
 	c.becomeFollower(c.term, "")
-	// The list of voters that was restored may be newer than the commit index,
-	// which lags behind on disk.
+	// The restored voter list may be newer than the restored commit index, which lags
+	// behind on disk.
 	c.log.commit = max(c.log.commit, min(restored.HardState.Commit, c.log.last()))
-	c.refreshOthers()
+	c.updatePeers()
 	c.bootstrap()
 	return c
 }
 
-// groupHash is the same for the same names in any order.
+// groupHash hashes a set of member names; the order does not matter.
 func groupHash(members []string) uint64 {
 	var sum uint64
 	for _, id := range members {
@@ -120,35 +124,35 @@
 	return sum
 }
 
-// Role is what this member currently is.
+// Role returns the current role of this member.
 func (c *Core) Role() Role { return c.role }
 
-// Term is the current term.
+// Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Settled reports whether this member leads and has applied an entry of its own
-// term: it has then applied all that earlier leaders committed.
+// Settled reports whether this member is the leader and has applied an entry of its
+// own term. It has then applied everything that earlier leaders committed.
 func (c *Core) Settled() bool {
 	term, known := c.log.term(c.log.applied)
 	return c.role == Leader && known && term == c.term
 }
 
-// Lead is the leader known in this term, or "".
+// Lead returns the leader known in the current term, or "".
 func (c *Core) Lead() string { return c.lead }
 
-// Commit is the highest index known to be committed.
+// Commit returns the highest index known to be committed.
 func (c *Core) Commit() uint64 { return c.log.commit }
 
-// Last is the last index of the log.
+// Last returns the last index of the log.
 func (c *Core) Last() uint64 { return c.log.last() }
 
-// Applied is the last index that Advance reported as applied.
+// Applied returns the last index that Advance reported as applied.
 func (c *Core) Applied() uint64 { return c.log.applied }
 
-// SnapshotIndex is the index up to which the log is replaced by a snapshot.
+// SnapshotIndex returns the index of the last entry covered by the snapshot.
 func (c *Core) SnapshotIndex() uint64 { return c.log.snapshot.Index }
 
-// Tick advances time by one unit.
+// Tick advances the logical clock by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
 	c.heartbeatElapsed++
@@ -159,7 +163,7 @@
 		c.tickLearner()
 	case c.electionElapsed >= c.electionTimeout:
 		c.campaign(PreCandidate)
-		c.askPlace()
+		c.probeMembership()
 	}
 }
 
@@ -171,15 +175,15 @@
 			return
 		}
 	}
-	c.tickSilence()
+	c.tickPeerSilence()
 	if c.heartbeatElapsed >= c.cfg.HeartbeatTicks {
 		c.heartbeatElapsed = 0
 		c.heartbeat()
 	}
 }
 
-// majority is of the committed list of voters, or of the configured members
-// before the founding.
+// majority returns the size of a majority of the committed voter list, or of the
+// configured members before the group is bootstrapped.
 func (c *Core) majority() int {
 	if n := len(c.membership.Voters); n > 0 {
 		return majorityOf(c.membership.Voters)
@@ -196,9 +200,9 @@
 	return e.Index
 }
 
-// Propose appends a command. It is accepted only once it shows up in
-// Ready.Committed with the returned term. The entries proposed before the next
-// Ready go out together.
+// Propose appends a command to the log. The command is accepted only once it appears
+// in Ready.Committed with the returned term. All entries proposed before the next
+// Ready are sent together.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -206,8 +210,8 @@
 	return c.append(Entry{Data: data}), c.term, nil
 }
 
-// Resign gives leadership up: the driver calls it when its disk failed.
-func (c *Core) Resign() { c.becomeFollower(c.term, "") }
+// StepDown gives up leadership. The driver calls it after a disk failure.
+func (c *Core) StepDown() { c.becomeFollower(c.term, "") }
 
 func (c *Core) send(m Message) {
 	m.From = c.cfg.ID
@@ -218,15 +222,15 @@
 	c.messages = append(c.messages, m)
 }
 
-// Step takes in a message from another member. Messages of another group are
-// dropped, but for the questions of newcomers and the answers to them: two
-// groups have no common quorum.
+// Step processes a message from another member. Two groups have no common quorum, so
+// messages from another group are dropped, except for probes of members that do not
+// belong to a group yet and the replies to them.
 func (c *Core) Step(m Message) {
 	probe := m.Type == MsgProbe || m.Type == MsgProbeReply
 	if c.group == 0 && m.Group != 0 && !probe {
-		// A leader sends to this member by the list of voters. Members that lost
-		// their disks together may know only one another otherwise.
-		c.follow(m.From)
+		// The sender is a leader that has this member in its voter list. Members that
+		// lost their disks at the same time may otherwise know only each other.
+		c.setLeaderHint(m.From)
 	}
 	if m.From == c.cfg.ID || !probe && m.Group != c.group || probe && m.Group != 0 && c.group != 0 && m.Group != c.group {
 		return
@@ -246,14 +250,14 @@
 }
 
 func (c *Core) stepTerm(m Message) {
-	if m.Type == MsgVote && (!c.mayVote() || m.Term > c.term && c.leaseHeld()) {
+	if m.Type == MsgVote && (!c.canGrantVote() || m.Term > c.term && c.hasLeaderLease()) {
 		return
 	}
 	if m.Term > c.term {
 		c.becomeFollower(m.Term, "")
 	}
 	if m.Term < c.term {
-		c.answerStale(m)
+		c.rejectStaleTerm(m)
 		return
 	}
 	c.stepCurrent(m)
@@ -280,8 +284,8 @@
 	}
 }
 
-// answerStale tells a deposed leader its term is over.
-func (c *Core) answerStale(m Message) {
+// rejectStaleTerm informs a deposed leader of the current term.
+func (c *Core) rejectStaleTerm(m Message) {
 	if m.Type == MsgAppend || m.Type == MsgSnapshot {
 		c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Reject: true})
 	}
--- a/internal/process/replica/core_test.go
+++ b/internal/process/replica/core_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCommitOnlyInOwnTerm is figure 8 of Ongaro and Ousterhout: an entry of an
-// earlier term that a majority holds may still be overwritten, so it is
-// committed only together with one of the leader's own term.
+// TestCommitOnlyInOwnTerm covers figure 8 of Ongaro and Ousterhout: an entry of an
+// earlier term may still be overwritten although a majority has it, so it must be
+// committed only together with an entry of the leader's own term.
 func TestCommitOnlyInOwnTerm(t *testing.T) {
 	c := qt.New(t)
 	members := []string{"a", "b", "c", "d", "e"}
@@ -43,8 +43,9 @@
 	c.Assert(core.Commit(), qt.Equals, uint64(3))
 }
 
-// TestLateSnapshotKeepsTheLog sends a follower a snapshot that comes after the
-// entries behind it were acknowledged: they may be committed, and are kept.
+// TestLateSnapshotKeepsTheLog guards against the loss of acknowledged entries on a
+// follower that receives a snapshot after it acknowledged the entries that follow it.
+// They may be committed and must be kept.
 func TestLateSnapshotKeepsTheLog(t *testing.T) {
 	c := qt.New(t)
 	members := []string{"a", "b", "c"}
@@ -62,7 +63,7 @@
 	from(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 2, Term: 1, Voters: voters}})
 	c.Check(core.Last(), qt.Equals, uint64(3))
 	c.Check(core.Commit(), qt.Equals, uint64(2))
-	// One of another history replaces the log whole.
+	// A snapshot with another term at that index replaces the whole log.
 	from(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 3, Term: 2, Voters: voters}})
 	c.Check(core.Last(), qt.Equals, uint64(3))
 	c.Check(core.SnapshotIndex(), qt.Equals, uint64(3))
--- a/internal/process/replica/election.go
+++ b/internal/process/replica/election.go
@@ -1,7 +1,7 @@
 package replica
 
 func (c *Core) becomeFollower(term uint64, lead string) {
-	c.starting = c.starting && lead == ""
+	c.awaitingFirstLeader = c.awaitingFirstLeader && lead == ""
 	if term > c.term {
 		c.term = term
 		c.vote = ""
@@ -14,22 +14,24 @@
 
 func (c *Core) resetElection() {
 	c.electionElapsed = 0
-	ticks, spread := c.cfg.ElectionTicks, c.cfg.ElectionTicks
-	if c.starting {
-		// Members that start together campaign together, unless their few ticks differ.
-		ticks, spread = c.cfg.FirstTicks, startSpread*c.cfg.FirstTicks
+	ticks, jitter := c.cfg.ElectionTicks, c.cfg.ElectionTicks
+	if c.awaitingFirstLeader {
+		// Members that start together would campaign together if they drew from a
+		// range of only a few ticks.
+		ticks, jitter = c.cfg.FirstTicks, firstTimeoutSpread*c.cfg.FirstTicks
 	}
-	c.electionTimeout = ticks + c.rand.IntN(spread)
+	c.electionTimeout = ticks + c.rand.IntN(jitter)
 }
 
-// startSpread is the range of the first election timeout in multiples of the least.
-const startSpread = 3
+// firstTimeoutSpread is the width of the range of the first election timeout, as a
+// multiple of FirstTicks.
+const firstTimeoutSpread = 3
 
-// campaign asks for pre-votes, which change no state anywhere, or for votes.
+// campaign requests pre-votes, which change no state on any member, or votes.
 func (c *Core) campaign(role Role) {
 	c.role = role
 	c.lead = ""
-	c.votes = map[string]ballot{c.cfg.ID: c.ballotOf(Message{From: c.cfg.ID, Disk: c.membership.Disk, Voting: true})}
+	c.votes = map[string]voteScope{c.cfg.ID: c.voteScopeOf(Message{From: c.cfg.ID, Disk: c.membership.Disk, Voting: true})}
 	c.resetElection()
 	kind := MsgPreVote
 	term := c.term + 1
@@ -39,42 +41,43 @@
 		kind = MsgVote
 	}
 	if c.elected() {
-		c.won()
+		c.winElection()
 		return
 	}
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		c.send(Message{Type: kind, To: id, Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm()})
 	}
 }
 
-func (c *Core) won() {
+func (c *Core) winElection() {
 	if c.role == PreCandidate {
 		c.campaign(Candidate)
 		return
 	}
 	c.role = Leader
 	c.lead = c.cfg.ID
-	c.starting = false
+	c.awaitingFirstLeader = false
 	c.electionElapsed = 0
 	c.heartbeatElapsed = 0
 	c.progress = map[string]*progress{}
-	c.refreshOthers()
-	// An entry of the own term lets everything before it be committed.
+	c.updatePeers()
+	// Entries of earlier terms can only be committed together with an entry of the
+	// leader's own term.
 	c.append(Entry{})
 	c.heartbeat()
 }
 
-// leaseHeld tells that a leader was heard from lately, so that a member coming
-// back from the far side of a partition deposes nobody.
-func (c *Core) leaseHeld() bool {
+// hasLeaderLease reports whether a leader was heard from recently. It keeps a member
+// that returns from a network partition from deposing the leader.
+func (c *Core) hasLeaderLease() bool {
 	return c.lead != "" && (c.role == Leader || c.electionElapsed < c.cfg.ElectionTicks)
 }
 
 func (c *Core) stepPreVote(m Message) {
-	if !c.mayVote() {
+	if !c.canGrantVote() {
 		return
 	}
-	grant := m.Term > c.term && !c.leaseHeld() && c.log.upToDate(m.Index, m.LogTerm)
+	grant := m.Term > c.term && !c.hasLeaderLease() && c.log.upToDate(m.Index, m.LogTerm)
 	term := m.Term
 	if !grant {
 		term = c.term
@@ -106,8 +109,8 @@
 	if m.Reject {
 		return
 	}
-	c.votes[m.From] = c.ballotOf(m)
+	c.votes[m.From] = c.voteScopeOf(m)
 	if c.elected() {
-		c.won()
+		c.winElection()
 	}
 }
--- a/internal/process/replica/log.go
+++ b/internal/process/replica/log.go
@@ -1,15 +1,15 @@
 package replica
 
-// raftLog is the part of the log after the last snapshot, in memory.
-// entries[i] has index snapshot.Index+1+i.
+// raftLog is the in-memory part of the log, after the last snapshot. entries[i] has
+// index snapshot.Index+1+i.
 type raftLog struct {
 	snapshot Snapshot
 	entries  []Entry
-	// stable is the last index known to be synced; stable <= last.
+	// stable is the last index known to be durable; stable <= last.
 	stable uint64
-	// commit <= last; it never falls.
+	// commit is the commit index; commit <= last, and it never decreases.
 	commit uint64
-	// applied <= commit.
+	// applied is the last applied index; applied <= commit.
 	applied uint64
 }
 
@@ -17,7 +17,8 @@
 
 func (l *raftLog) last() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
 
-// term returns the term at index and whether the index is held.
+// term returns the term of the entry at index and whether that entry is in the log or
+// is the last one covered by the snapshot.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -33,8 +34,8 @@
 	return term
 }
 
-// from returns at most limit entries beginning at index.
-func (l *raftLog) from(index uint64, limit int) []Entry {
+// entriesFrom returns at most limit entries, starting at index.
+func (l *raftLog) entriesFrom(index uint64, limit int) []Entry {
 	if index > l.last() || index < l.first() {
 		return nil
 	}
@@ -45,26 +46,26 @@
 	return append([]Entry(nil), entries...)
 }
 
-// after returns the entries above index.
-func (l *raftLog) after(index uint64) []Entry { return l.from(index+1, len(l.entries)) }
+// entriesAfter returns the entries after index.
+func (l *raftLog) entriesAfter(index uint64) []Entry { return l.entriesFrom(index+1, len(l.entries)) }
 
-// committed returns what is committed and not yet applied.
-func (l *raftLog) committed() []Entry { return l.from(l.applied+1, int(l.commit-l.applied)) }
+// unapplied returns the entries that are committed but not applied.
+func (l *raftLog) unapplied() []Entry { return l.entriesFrom(l.applied+1, int(l.commit-l.applied)) }
 
-// batch returns entries beginning at index that fit one append message.
+// batch returns entries starting at index that fit into one append message.
 func (l *raftLog) batch(index uint64) []Entry {
-	entries := l.from(index, maxEntries)
+	entries := l.entriesFrom(index, maxAppendEntries)
 	size := 0
 	for i := range entries {
 		size += entries[i].size()
-		if i > 0 && size > maxBytes {
+		if i > 0 && size > maxAppendBytes {
 			return entries[:i]
 		}
 	}
 	return entries
 }
 
-// pendingVoters returns the newest list of voters that is not yet committed.
+// pendingVoters returns the newest voter list that is not committed, or nil.
 func (l *raftLog) pendingVoters() []Voter {
 	for i := l.last(); i > l.commit; i-- {
 		if voters := l.entries[i-l.first()].Voters; voters != nil {
@@ -74,22 +75,23 @@
 	return nil
 }
 
-// cut drops the entries from index on.
-func (l *raftLog) cut(index uint64) {
+// truncateFrom removes the entries from index on.
+func (l *raftLog) truncateFrom(index uint64) {
 	l.entries = l.entries[:index-l.first()]
 	l.stable = min(l.stable, index-1)
 }
 
-// upToDate reports whether a log ending in (index, term) holds at least as
-// much as this one: the election restriction.
+// upToDate reports whether a log that ends in (index, term) is at least as up-to-date
+// as this one (the election restriction).
 func (l *raftLog) upToDate(index, term uint64) bool {
 	last := l.lastTerm()
 	return term > last || (term == last && index >= l.last())
 }
 
-// merge appends entries, cutting a conflicting tail. A committed entry is
-// never cut: log matching rules that out, and a violation panics.
-func (l *raftLog) merge(entries []Entry) {
+// truncateAndAppend appends entries and removes a conflicting tail. Log matching
+// guarantees that a committed entry never conflicts; truncateAndAppend panics if one
+// does.
+func (l *raftLog) truncateAndAppend(entries []Entry) {
 	for i, e := range entries {
 		term, held := l.term(e.Index)
 		if held && term == e.Term {
@@ -102,21 +104,21 @@
 			if e.Index <= l.commit {
 				panic("replica: conflict with a committed entry")
 			}
-			l.cut(e.Index)
+			l.truncateFrom(e.Index)
 		}
 		l.entries = append(l.entries, entries[i:]...)
 		return
 	}
 }
 
-// restore replaces everything by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *raftLog) restore(s Snapshot) {
 	*l = raftLog{snapshot: s, stable: s.Index, commit: s.Index, applied: s.Index}
 }
 
-// compact drops entries up to the snapshot's index, which is applied.
+// compact removes the entries covered by the snapshot, all of which are applied.
 func (l *raftLog) compact(s Snapshot) {
-	kept := l.from(s.Index+1, len(l.entries))
+	kept := l.entriesFrom(s.Index+1, len(l.entries))
 	l.snapshot = s
 	l.entries = kept
 }
--- a/internal/process/replica/membership.go
+++ b/internal/process/replica/membership.go
@@ -5,54 +5,58 @@
 	"slices"
 )
 
-// A member is known by its name and by the disk that holds its vote: a random
-// number that its data folder got when it was created.
+// A member is identified by its name and by the disk that stores its vote. The disk ID
+// is a random number assigned to the data directory when it is created.
 //
-//   - A fresh folder asks all other members. When each of them is fresh too or
-//     knows the member under this very disk, it is a first start, and the member
-//     votes: all members must be up once, at the first start.
-//   - When one of them knows the member under another disk, the old disk is
-//     lost. The member is a learner: it takes in the log but neither votes nor
-//     counts, because the old disk may have acknowledged entries that are
-//     missing here.
-//   - The leader notes its last index when a learner turns up, which is at
-//     least what was committed then. Once the learner holds all up to there the
-//     leader appends the list of voters with the new disk in it. The learner
-//     votes as soon as it knows that entry to be committed: it then holds all
-//     that was committed before it.
+//   - A member with a new data directory probes all other members. If each of
+//     them is new too, or knows the member under this disk, this is the first
+//     start and the member gets its vote. All members must therefore be up once,
+//     at the first start.
+//   - If one of them knows the member under another disk, that disk is lost. The
+//     member becomes a learner: it receives the log, but neither votes nor counts
+//     toward a majority, because the lost disk may have acknowledged entries that
+//     are missing on the new one.
+//   - When a learner appears, the leader records its own last index, which is at
+//     least what was committed at that time. Once the learner has the log up to
+//     that index, the leader appends a voter list with the new disk. The learner
+//     votes as soon as it knows that this entry is committed, because it then has
+//     everything that was committed before.
 //
-// A vote or an acknowledgement counts only if its sender holds that it votes,
-// and if its disk is the one in the newest list of voters in the log.
+// A vote or an acknowledgement counts only if its sender considers itself a voter and
+// its disk is in the newest voter list in the log.
 
-// abstained is the vote of a member admitted in a term without a known leader.
+// abstained is stored as the vote of a member that is admitted in a term whose leader
+// it does not know.
 const abstained = "(abstained)"
 
-// Membership returns what this member knows of who may vote.
+// Membership returns what this member knows about the voters of its group.
 func (c *Core) Membership() Membership { return c.membership }
 
-// Repair tells how far a member without a vote is.
+// Repair reports the progress of a member that is getting a vote for its disk.
 type Repair struct {
 	// State is one of the Repair constants.
 	State string `json:"state"`
-	// Have is the last index held, Need the index that was committed when the
-	// member asked; it gets its vote somewhat above Need.
+	// Have is the last index in the log of the member. Need is the index that was
+	// committed when the member started to receive the log; the member gets its vote
+	// at a slightly higher index.
 	Have uint64 `json:"have"`
 	Need uint64 `json:"need"`
 }
 
-// The states of a repair.
+// The values of Repair.State.
 const (
-	// RepairNone means that the member had its vote from the start.
+	// RepairNone means that the member had a vote when the process started.
 	RepairNone = "none"
-	// RepairAsking means a fresh folder: the member waits for all others.
+	// RepairAsking means that the data directory is new and the member waits for all
+	// other members to answer its probes.
 	RepairAsking = "asking"
-	// RepairLearning means that the member takes in the log without a vote.
+	// RepairLearning means that the member receives the log but has no vote.
 	RepairLearning = "learning"
-	// RepairDone means that the member got its vote since the process started.
+	// RepairDone means that the member got its vote after the process started.
 	RepairDone = "done"
 )
 
-// Repair returns the state of the repair.
+// Repair returns the progress of the repair.
 func (c *Core) Repair() Repair {
 	r := Repair{State: RepairNone, Have: c.log.last(), Need: c.repairTarget}
 	switch {
@@ -67,62 +71,64 @@
 	return r
 }
 
-// bootstrap gives a member that has no others its vote at once.
+// bootstrap gives a new member its vote once all peers have confirmed its disk; at
+// once if it has no peers.
 func (c *Core) bootstrap() {
-	may := !c.cfg.Joins || c.membership.Founding || c.vouched
-	if may && !c.membership.Voting && !c.membership.Learning && len(c.seen) == len(c.others) {
-		c.membership.Voters = c.firstVoters()
+	mayBootstrap := !c.cfg.Joins || c.membership.MayBootstrap || c.knownToVoter
+	if mayBootstrap && !c.membership.Voting && !c.membership.Learning && len(c.confirmedDisks) == len(c.peers) {
+		c.membership.Voters = c.initialVoters()
 		c.membership.Voting = true
 		c.membershipChanged = true
 		if c.cfg.ReplaceTicks > 0 {
-			// The configured members may be others at the next start.
+			// The configured members may differ at the next start.
 			c.membership.Group = c.group
 		}
-		c.refreshOthers()
+		c.updatePeers()
 	}
 }
 
-// beginMembership readies what a member knows of its group at the start. That a
-// fresh one may found the group lasts: it may be restarted meanwhile.
-func (c *Core) beginMembership() {
+// initMembership sets up the group of this member at startup. MayBootstrap is
+// persisted, because the member may be restarted before the group is bootstrapped.
+func (c *Core) initMembership() {
 	fresh := !c.membership.Voting && !c.membership.Learning
-	if fresh && !c.cfg.Joins && c.cfg.ReplaceTicks > 0 && !c.membership.Founding {
-		c.membership.Founding, c.membershipChanged = true, true
+	if fresh && !c.cfg.Joins && c.cfg.ReplaceTicks > 0 && !c.membership.MayBootstrap {
+		c.membership.MayBootstrap, c.membershipChanged = true, true
 	}
 	switch {
 	case c.membership.Group != 0:
 		c.group = c.membership.Group
-	case fresh && c.cfg.Joins && !c.membership.Founding:
+	case fresh && c.cfg.Joins && !c.membership.MayBootstrap:
 		c.group = 0
 	}
 }
 
-func (c *Core) firstVoters() []Voter {
+func (c *Core) initialVoters() []Voter {
 	voters := []Voter{{Member: c.cfg.ID, Disk: c.membership.Disk}}
-	for id, disk := range c.seen {
+	for id, disk := range c.confirmedDisks {
 		voters = append(voters, Voter{Member: id, Disk: disk})
 	}
 	slices.SortFunc(voters, func(a, b Voter) int { return cmp.Compare(a.Member, b.Member) })
 	return voters
 }
 
-// tickLearner asks the others while the folder is fresh.
+// tickLearner probes the peers while this member is new or, where newcomers are
+// admitted, while it is a learner that knows no leader.
 func (c *Core) tickLearner() {
 	if c.electionElapsed >= c.electionTimeout {
 		c.lead = ""
 	}
-	waits := c.membership.Learning && (c.cfg.ReplaceTicks == 0 || c.lead != "")
-	if waits || c.heartbeatElapsed < c.cfg.HeartbeatTicks {
+	idle := c.membership.Learning && (c.cfg.ReplaceTicks == 0 || c.lead != "")
+	if idle || c.heartbeatElapsed < c.cfg.HeartbeatTicks {
 		return
 	}
 	c.heartbeatElapsed = 0
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		c.send(Message{Type: MsgProbe, To: id})
 	}
 }
 
-// stepProbe answers with the asker's disk in Hint, so that an answer to an
-// earlier disk of the same member is told apart.
+// stepProbe replies to a probe. Hint echoes the disk of the probing member, so that it
+// can ignore replies to probes that were sent with an earlier disk.
 func (c *Core) stepProbe(m Message) {
 	c.send(Message{
 		Type: MsgProbeReply, To: m.From, Hint: m.Disk,
@@ -130,15 +136,15 @@
 		Placed: diskIn(c.membership.Voters, m.From) == m.Disk,
 	})
 	if c.membership.Voting && !m.Voting && c.diskOf(m.From) == 0 {
-		c.welcome(m.From, m.Disk)
+		c.addNewcomer(m.From, m.Disk)
 	}
 }
 
-// follow has a member without a vote ask another one, too, what it knows.
-func (c *Core) follow(id string) {
-	if !slices.Contains(c.others, id) {
-		c.guide = id
-		c.refreshOthers()
+// setLeaderHint makes a member without a vote also probe the member id.
+func (c *Core) setLeaderHint(id string) {
+	if !slices.Contains(c.peers, id) {
+		c.leaderHint = id
+		c.updatePeers()
 	}
 }
 
@@ -147,10 +153,10 @@
 		return
 	}
 	if !c.membership.Voting && m.Lead != "" {
-		c.follow(m.Lead)
+		c.setLeaderHint(m.Lead)
 	}
 	if c.membership.Voting {
-		c.losePlace(m)
+		c.checkRemoved(m)
 		return
 	}
 	if c.membership.Learning {
@@ -160,8 +166,9 @@
 		c.group, c.membership.Group = m.Group, m.Group
 	}
 	if m.Newcomer {
-		// One without a place founds no group, and its list may be too old to tell
-		// whether another disk of this member has voted.
+		// The sender is a newcomer and cannot take part in bootstrapping a group. Its
+		// voter list may also be too old to tell whether another disk of this member
+		// has voted.
 		return
 	}
 	if !m.Fresh && m.Known != c.membership.Disk {
@@ -170,13 +177,13 @@
 		c.membershipChanged = true
 		return
 	}
-	c.vouched = c.vouched || !m.Fresh
-	c.seen[m.From] = m.Disk
+	c.knownToVoter = c.knownToVoter || !m.Fresh
+	c.confirmedDisks[m.From] = m.Disk
 	c.bootstrap()
 }
 
-// diskOf returns the disk of a member in the newest list of voters in the log,
-// committed or not; 0 is unknown.
+// diskOf returns the disk of a member according to the newest voter list in the log,
+// committed or not, or 0 if the list does not contain the member.
 func (c *Core) diskOf(id string) uint64 {
 	if pending := c.log.pendingVoters(); pending != nil {
 		return diskIn(pending, id)
@@ -184,7 +191,8 @@
 	return diskIn(c.membership.Voters, id)
 }
 
-// diskIn returns the disk of a member in a list of voters; 0 without.
+// diskIn returns the disk of a member in a voter list, or 0 if the list does not
+// contain the member.
 func diskIn(voters []Voter, id string) uint64 {
 	for _, v := range voters {
 		if v.Member == id {
@@ -194,17 +202,18 @@
 	return 0
 }
 
-// counts reports whether a message comes from a disk that votes.
-func (c *Core) counts(m Message) bool {
+// fromVoter reports whether m was sent by a voter with the disk known to this member.
+func (c *Core) fromVoter(m Message) bool {
 	return m.Voting && m.Disk == c.diskOf(m.From)
 }
 
-// commitTo raises the commit index and takes up lists of voters on the way.
+// commitTo raises the commit index and applies the voter lists in the newly committed
+// entries.
 func (c *Core) commitTo(index uint64) {
 	if index <= c.log.commit {
 		return
 	}
-	entries := c.log.from(c.log.commit+1, int(index-c.log.commit))
+	entries := c.log.entriesFrom(c.log.commit+1, int(index-c.log.commit))
 	c.log.commit = index
 	for _, e := range entries {
 		if e.Voters != nil && e.Index > c.membership.VotersAt {
@@ -213,17 +222,17 @@
 	}
 }
 
-// setVoters takes up the committed list of the entry at an index. It gives a learner its vote, except in
-// the current term, in which the lost disk may have voted; and takes the vote
-// from a disk that was replaced by another one.
+// setVoters applies a committed voter list from the entry at index at. A learner in
+// the list gets its vote, but not for the current term, in which its lost disk may
+// already have voted. A member whose disk was replaced by another one loses its vote.
 func (c *Core) setVoters(voters []Voter, at uint64) {
 	c.membership.Voters, c.membership.VotersAt = slices.Clone(voters), at
 	c.membershipChanged = true
-	defer c.refreshOthers()
+	defer c.updatePeers()
 	own := slices.IndexFunc(voters, func(v Voter) bool { return v.Member == c.cfg.ID })
 	if own < 0 {
 		if c.membership.Voting {
-			c.membership.loseVote()
+			c.membership.demote()
 		}
 		return
 	}
@@ -239,24 +248,24 @@
 	c.membership.Newcomer = false
 }
 
-// admit appends the list of voters that has the learner's disk in it, once the
-// learner holds what was committed when it turned up. One list at a time is
-// under way, so that none overtakes another.
+// admit appends a voter list that includes the disk of the learner, once the learner
+// has everything that was committed when it appeared. Only one list may be pending at
+// a time, so that voter changes are committed in order.
 func (c *Core) admit(id string, p *progress) {
 	ownTerm, _ := c.log.term(c.log.commit)
-	if !p.learner || p.admitAt > 0 || p.match < p.askedAt || ownTerm != c.term || c.log.pendingVoters() != nil {
+	if !p.learner || p.admitIndex > 0 || p.match < p.catchUpTarget || ownTerm != c.term || c.log.pendingVoters() != nil {
 		return
 	}
-	leaves := id
+	replaced := id
 	if diskIn(c.membership.Voters, id) == 0 {
-		if leaves = c.silentVoter(); leaves == "" && len(c.membership.Voters) >= c.cfg.Voters {
+		if replaced = c.longestSilentVoter(); replaced == "" && len(c.membership.Voters) >= c.cfg.Voters {
 			return
 		}
 	}
-	voters := slices.DeleteFunc(slices.Clone(c.membership.Voters), func(v Voter) bool { return v.Member == leaves })
+	voters := slices.DeleteFunc(slices.Clone(c.membership.Voters), func(v Voter) bool { return v.Member == replaced })
 	voters = append(voters, Voter{Member: id, Disk: p.disk})
 	slices.SortFunc(voters, func(a, b Voter) int { return cmp.Compare(a.Member, b.Member) })
-	p.admitAt = c.append(Entry{Voters: voters})
+	p.admitIndex = c.append(Entry{Voters: voters})
 	p.newcomer = false
-	c.refreshOthers()
+	c.updatePeers()
 }
--- a/internal/process/replica/progress.go
+++ b/internal/process/replica/progress.go
@@ -2,79 +2,81 @@
 
 import "slices"
 
-// The bounds of one append message: it carries at least one entry.
+// Limits of one append message. It always carries at least one entry if there is one
+// to send.
 const (
-	maxEntries = 256
-	maxBytes   = 1 << 20
+	maxAppendEntries = 256
+	maxAppendBytes   = 1 << 20
 )
 
-// snapshotBeats is how many heartbeats a leader waits before it sends a
-// snapshot again.
-const snapshotBeats = 10
+// snapshotResendHeartbeats is the number of heartbeats that a leader waits for a reply
+// before it resends a snapshot.
+const snapshotResendHeartbeats = 10
 
-// progress is what a leader knows about one other member.
+// progress is the state that a leader keeps for one peer.
 type progress struct {
-	// match is the highest index known to be durable there; match < next.
+	// match is the highest index known to be durable on the peer; match < next.
 	match uint64
-	// next is the index to send next.
+	// next is the index of the next entry to send.
 	next uint64
-	// disk is the disk that match speaks of.
+	// disk is the disk that match refers to.
 	disk uint64
-	// learner members take in the log and do not count.
+	// learner is set if the peer receives the log without counting toward a majority.
 	learner bool
-	// ballot says in which lists its acknowledgements count while a member is
-	// being replaced.
-	ballot ballot
-	// newcomer members are in no list of voters yet.
+	// voteScope says in which voter lists the acknowledgements of the peer count while
+	// a list with new members is pending.
+	voteScope voteScope
+	// newcomer is set if the peer is not in a voter list yet.
 	newcomer bool
-	// askedAt is the leader's last index when the learner turned up.
-	askedAt uint64
-	// admitAt is the index of the list of voters that admits it, or 0.
-	admitAt uint64
-	// active is whether it answered since the last check of the quorum.
-	active bool
-	// probing sends one append and waits for its answer before the next.
+	// catchUpTarget is the last index of the leader when the learner appeared.
+	catchUpTarget uint64
+	// admitIndex is the index of the voter list that admits the learner, or 0.
+	admitIndex uint64
+	// recentActive is set if the peer replied since the last quorum check.
+	recentActive bool
+	// probing is set if the leader sends one append at a time and waits for the reply.
 	probing bool
-	// told is the commit index last sent.
-	told uint64
-	// silent counts ticks since the last answer.
-	silent int
-	// snapshotWait counts heartbeats down after a snapshot was sent.
+	// sentCommit is the commit index last sent.
+	sentCommit uint64
+	// silentTicks counts the ticks since the last reply.
+	silentTicks int
+	// snapshotWait is the number of heartbeats left until a snapshot may be sent
+	// again.
 	snapshotWait int
 }
 
-// quorumActive tells whether a majority answered since the last check, and
-// begins the next check. Silent members are only probed from then on.
+// quorumActive reports whether a majority replied since the last check, and starts a
+// new check interval. Peers that did not reply switch to probing.
 func (c *Core) quorumActive() bool {
 	active := 1
 	for _, p := range c.progress {
-		if p.active && (!p.learner || p.ballot.committed) {
+		if p.recentActive && (!p.learner || p.voteScope.committed) {
 			active++
 		}
-		p.probing = p.probing || !p.active
-		p.active = false
+		p.probing = p.probing || !p.recentActive
+		p.recentActive = false
 	}
 	return active >= c.majority()
 }
 
-// flush sends entries and commit indices that others were not sent yet.
+// flush sends pending entries and commit indices to the peers.
 func (c *Core) flush() {
 	if c.role != Leader {
 		return
 	}
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		p := c.progress[id]
 		for !p.probing && p.next <= c.log.last() {
 			c.sendAppend(id, p)
 		}
-		if !p.probing && p.told < c.log.commit {
+		if !p.probing && p.sentCommit < c.log.commit {
 			c.sendAppend(id, p)
 		}
 	}
 }
 
 func (c *Core) heartbeat() {
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		p := c.progress[id]
 		p.snapshotWait = max(0, p.snapshotWait-1)
 		c.sendAppend(id, p)
@@ -93,14 +95,14 @@
 		Type: MsgAppend, To: to, Term: c.term, Index: prev, LogTerm: prevTerm,
 		Commit: c.log.commit, Entries: entries,
 	})
-	p.told = c.log.commit
+	p.sentCommit = c.log.commit
 	if !p.probing {
 		p.next += uint64(len(entries))
 	}
 }
 
-// sendSnapshot sends the snapshot, and while its answer is out empty appends
-// that keep the member from campaigning.
+// sendSnapshot sends the snapshot. While it waits for the reply it sends empty
+// appends, which keep the peer from campaigning.
 func (c *Core) sendSnapshot(to string, p *progress) {
 	snap := c.log.snapshot
 	p.probing = true
@@ -108,12 +110,12 @@
 		c.send(Message{Type: MsgAppend, To: to, Term: c.term, Index: snap.Index, LogTerm: snap.Term, Commit: c.log.commit})
 		return
 	}
-	p.snapshotWait = snapshotBeats
+	p.snapshotWait = snapshotResendHeartbeats
 	c.send(Message{Type: MsgSnapshot, To: to, Term: c.term, Snapshot: &snap})
 }
 
 func (c *Core) stepAppend(m Message) {
-	c.noteRepair(m.Commit)
+	c.setRepairTarget(m.Commit)
 	if m.Index < c.log.snapshot.Index {
 		c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Index: c.log.commit})
 		return
@@ -123,15 +125,16 @@
 		c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Reject: true, Index: m.Index, Hint: c.hint(m.Index)})
 		return
 	}
-	c.log.merge(m.Entries)
-	c.handed = min(c.handed, c.log.stable)
+	c.log.truncateAndAppend(m.Entries)
+	c.emitted = min(c.emitted, c.log.stable)
 	match := m.Index + uint64(len(m.Entries))
 	c.commitTo(min(m.Commit, match))
 	c.send(Message{Type: MsgAppendReply, To: m.From, Term: c.term, Index: match})
 }
 
-// hint is where the leader should go on: behind a gap the own last index, in a
-// conflict the commit index, up to which all logs are the same.
+// hint returns the index from which the leader should continue: the last index if
+// there is a gap, or the commit index if entries conflict, since all logs are
+// identical up to there.
 func (c *Core) hint(refused uint64) uint64 {
 	if refused > c.log.last() {
 		return c.log.last()
@@ -139,23 +142,23 @@
 	return c.log.commit
 }
 
-func (c *Core) noteRepair(commit uint64) {
+func (c *Core) setRepairTarget(commit uint64) {
 	if !c.membership.Voting && c.repairTarget == 0 {
 		c.repairTarget = commit
 	}
 }
 
 func (c *Core) stepSnapshot(m Message) {
-	c.noteRepair(m.Snapshot.Index)
+	c.setRepairTarget(m.Snapshot.Index)
 	switch term, held := c.log.term(m.Snapshot.Index); {
 	case m.Snapshot.Index <= c.log.commit:
 	case held && term == m.Snapshot.Term:
-		// The snapshot comes late. What the log holds behind it may have been
-		// acknowledged, and committed by that: it must be kept.
+		// The snapshot arrived late. The entries after it may have been acknowledged,
+		// and committed because of that, so they must be kept.
 		c.commitTo(m.Snapshot.Index)
 	default:
 		c.log.restore(*m.Snapshot)
-		c.handed = c.log.stable
+		c.emitted = c.log.stable
 		c.newSnapshot = m.Snapshot
 		c.setVoters(m.Snapshot.Voters, m.Snapshot.Index)
 	}
@@ -164,11 +167,11 @@
 
 func (c *Core) stepAppendReply(m Message) {
 	p := c.progress[m.From]
-	c.identify(p, m)
-	p.active = true
-	p.silent = 0
+	c.updateDisk(p, m)
+	p.recentActive = true
+	p.silentTicks = 0
 	if m.Reject {
-		c.backOff(m, p)
+		c.handleReject(m, p)
 		return
 	}
 	if m.Index >= p.next {
@@ -185,25 +188,27 @@
 	c.admit(m.From, p)
 }
 
-// identify notes which disk an answer speaks for. One that is not in the list of
-// voters is a learner's, also if it holds that it votes: two members may have
-// seen different disks of a third that was lost during the first start.
-func (c *Core) identify(p *progress, m Message) {
-	votes := c.counts(m)
+// updateDisk records which disk an acknowledgement applies to. A peer whose disk is
+// not in the voter list is a learner even if it considers itself a voter: two members
+// may have seen different disks of a third one that lost its disk during the first
+// start.
+func (c *Core) updateDisk(p *progress, m Message) {
+	votes := c.fromVoter(m)
 	if p.disk != m.Disk {
-		*p = progress{disk: m.Disk, next: c.log.last() + 1, probing: true, active: p.active, newcomer: p.newcomer}
+		*p = progress{disk: m.Disk, next: c.log.last() + 1, probing: true, recentActive: p.recentActive, newcomer: p.newcomer}
 	}
 	if !votes && !p.learner {
-		p.askedAt = c.log.last()
+		p.catchUpTarget = c.log.last()
 	}
 	p.learner = !votes
-	p.ballot = c.ballotOf(m)
+	p.voteScope = c.voteScopeOf(m)
 }
 
-// backOff goes back to where the logs may match. Refusals of anything but the
-// newest append are stale. A member that refuses what it had acknowledged lost
-// the end of its log: it is sent that again, and counts with what it has.
-func (c *Core) backOff(m Message, p *progress) {
+// handleReject moves next back to where the logs may match. Rejections of anything but
+// the latest append are stale. A peer that rejects entries it had acknowledged has
+// lost the end of its log: it is sent those entries again and counts only with what it
+// still has.
+func (c *Core) handleReject(m Message, p *progress) {
 	if m.Index < p.match || p.probing && m.Index != p.next-1 {
 		return
 	}
@@ -213,14 +218,15 @@
 	c.sendAppend(m.From, p)
 }
 
-// advanceCommit commits what a majority holds durably, if it is of this term.
+// advanceCommit commits the entries that are durable on a majority, if the last of
+// them is of the current term.
 func (c *Core) advanceCommit() {
 	var index uint64
-	if replacing := c.replacing(); replacing == nil {
-		index = c.heldBy(c.majority(), func(p *progress) bool { return !p.learner })
+	if joint := c.jointVoters(); joint == nil {
+		index = c.majorityMatch(c.majority(), func(p *progress) bool { return !p.learner })
 	} else {
-		index = min(c.heldBy(c.majority(), func(p *progress) bool { return p.ballot.committed }),
-			c.heldBy(majorityOf(replacing), func(p *progress) bool { return p.ballot.pending }))
+		index = min(c.majorityMatch(c.majority(), func(p *progress) bool { return p.voteScope.committed }),
+			c.majorityMatch(majorityOf(joint), func(p *progress) bool { return p.voteScope.pending }))
 	}
 	term, held := c.log.term(index)
 	if index > c.log.commit && held && term == c.term {
@@ -228,9 +234,10 @@
 	}
 }
 
-// heldBy returns the highest index that so many members hold durably, of this one
-// and those that count.
-func (c *Core) heldBy(members int, counts func(*progress) bool) uint64 {
+// majorityMatch returns the highest index that is durable on the given number of
+// members, among this member and the peers that count, or 0 if there are too few of
+// them.
+func (c *Core) majorityMatch(members int, counts func(*progress) bool) uint64 {
 	matches := []uint64{c.log.stable}
 	for _, p := range c.progress {
 		if counts(p) {
--- a/internal/process/replica/ready.go
+++ b/internal/process/replica/ready.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Ready returns what the driver must do next.
+// Ready returns the work that the driver must do next.
 func (c *Core) Ready() Ready {
 	c.flush()
 	r := Ready{Snapshot: c.newSnapshot}
 	hard := HardState{Term: c.term, Vote: c.vote, Commit: c.log.commit}
-	r.Entries = c.log.after(c.handed)
-	elected := hard.Term != c.saved.Term || hard.Vote != c.saved.Vote
-	if elected || len(r.Entries) > 0 && hard != c.saved {
+	r.Entries = c.log.entriesAfter(c.emitted)
+	elected := hard.Term != c.lastHardState.Term || hard.Vote != c.lastHardState.Vote
+	if elected || len(r.Entries) > 0 && hard != c.lastHardState {
 		r.HardState = &hard
-		c.saved = hard
+		c.lastHardState = hard
 	}
 	if c.membershipChanged {
 		copied := c.membership
@@ -19,17 +19,17 @@
 		r.Membership = &copied
 	}
 	r.Early, r.Messages = c.splitMessages(elected || c.membershipChanged)
-	r.Committed = c.log.committed()
+	r.Committed = c.log.unapplied()
 	c.messages = nil
 	c.newSnapshot = nil
 	c.membershipChanged = false
-	c.handed = c.log.last()
+	c.emitted = c.log.last()
 	return r
 }
 
-// splitMessages parts the appends of a leader whose term is durable: they may
-// leave while the leader itself still writes, since its own copy is counted
-// only after Advance.
+// splitMessages separates the append messages of a leader whose term is durable. They
+// may be sent while the leader is still writing to its own disk, because its own copy
+// counts only after Advance.
 func (c *Core) splitMessages(dirty bool) (early, late []Message) {
 	if dirty || c.role != Leader {
 		return nil, c.messages
@@ -44,7 +44,7 @@
 	return early, late
 }
 
-// Advance tells that everything in r is durable and applied.
+// Advance reports that everything in r is durable and applied.
 func (c *Core) Advance(r Ready) {
 	if n := len(r.Entries); n > 0 {
 		last := r.Entries[n-1]
@@ -60,8 +60,9 @@
 	}
 }
 
-// Compact drops the log up to the last applied index, which data stands for,
-// and returns what is left: the driver makes that durable before it goes on.
+// Compact replaces the log up to the last applied index with a snapshot that contains
+// data, and returns the remaining state. The driver must persist that state before it
+// continues.
 func (c *Core) Compact(data []byte) Restored {
 	term, held := c.log.term(c.log.applied)
 	if held {
@@ -71,6 +72,6 @@
 		HardState:  HardState{Term: c.term, Vote: c.vote, Commit: c.log.commit},
 		Membership: c.membership,
 		Snapshot:   c.log.snapshot,
-		Entries:    c.log.from(c.log.first(), int(c.log.stable-c.log.snapshot.Index)),
+		Entries:    c.log.entriesFrom(c.log.first(), int(c.log.stable-c.log.snapshot.Index)),
 	}
 }
--- a/internal/process/replica/replace.go
+++ b/internal/process/replica/replace.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// A member that is gone for good is replaced by a newcomer of another name in
-// the same way as a lost disk by a new one (membership.go). The newcomer asks;
-// the leader sends it the log as to a learner, and once it has caught up and a
-// voter was silent for long, appends the list in which the newcomer stands in the
-// voter's place.
+// A member that is permanently lost is replaced by a newcomer, which has another name,
+// in the same way as a lost disk by a new one (membership.go). The newcomer probes the
+// members. The leader sends it the log as to a learner. Once the newcomer has caught
+// up and a voter has been silent for ReplaceTicks, the leader appends a voter list in
+// which the newcomer takes the place of that voter.
 //
-// A group that is smaller than it should be takes newcomers in without anyone
-// leaving. One more takes its place at a time, so that any majority of the list
-// before and any of the list after have a member in common.
+// A group that is smaller than configured admits newcomers without removing a voter.
+// It adds one voter at a time, so that any majority of the old list and any majority
+// of the new list have a member in common.
 //
-// Until that list is known to be committed, elections and commits need a majority
-// of both lists, for nobody knows which of the two has decided something. One
-// that comes back finds that it has no place any more, and asks for one like a
-// newcomer.
+// Until the new list is known to be committed, elections and commits need majorities
+// of both lists, because either of them may already have made decisions. A replaced
+// member that returns finds that it is no longer a voter and asks to be admitted like
+// a newcomer.
 
-// refreshOthers brings the other members in step with the newest lists of
-// voters. A leader also sends to newcomers.
-func (c *Core) refreshOthers() {
+// updatePeers recomputes the peers from the committed and the pending voter list. A
+// member without a vote, or without a list, adds the configured members and the leader
+// named to it; a leader adds newcomers.
+func (c *Core) updatePeers() {
 	names := map[string]bool{}
 	for _, list := range [][]Voter{c.membership.Voters, c.log.pendingVoters()} {
 		for _, v := range list {
@@ -39,96 +40,97 @@
 			names[id] = true
 		}
 	}
-	if c.guide != "" && !c.membership.Voting {
-		names[c.guide] = true
+	if c.leaderHint != "" && !c.membership.Voting {
+		names[c.leaderHint] = true
 	}
 	delete(names, c.cfg.ID)
-	c.others = slices.Sorted(maps.Keys(names))
+	c.peers = slices.Sorted(maps.Keys(names))
 	if c.role != Leader || c.progress == nil {
 		return
 	}
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		if c.progress[id] == nil {
-			c.progress[id] = &progress{next: c.log.last() + 1, disk: c.diskOf(id), active: true}
+			c.progress[id] = &progress{next: c.log.last() + 1, disk: c.diskOf(id), recentActive: true}
 		}
 	}
 	maps.DeleteFunc(c.progress, func(id string, _ *progress) bool { return !names[id] })
 }
 
-// tickSilence counts the silence of the other members; a silent newcomer is
-// forgotten.
-func (c *Core) tickSilence() {
-	gone := false
+// tickPeerSilence counts the ticks since the last reply of each peer and removes
+// newcomers that have been silent too long.
+func (c *Core) tickPeerSilence() {
+	removed := false
 	for id, p := range c.progress {
-		p.silent++
-		if p.newcomer && p.silent > newcomerTicks {
+		p.silentTicks++
+		if p.newcomer && p.silentTicks > newcomerTimeoutTicks {
 			delete(c.progress, id)
-			gone = true
+			removed = true
 		}
 	}
-	if gone {
-		c.refreshOthers()
+	if removed {
+		c.updatePeers()
 	}
 }
 
-// newcomerTicks is how long a newcomer may be silent before the leader forgets
+// newcomerTimeoutTicks is how long a newcomer may be silent before the leader removes
 // it.
-const newcomerTicks = 100
+const newcomerTimeoutTicks = 100
 
-// welcome begins to send the log to a newcomer.
-func (c *Core) welcome(id string, disk uint64) {
+// addNewcomer starts to replicate the log to a newcomer.
+func (c *Core) addNewcomer(id string, disk uint64) {
 	if c.role != Leader || c.cfg.ReplaceTicks == 0 || c.progress[id] != nil {
 		return
 	}
-	c.progress[id] = &progress{next: c.log.last() + 1, disk: disk, learner: true, newcomer: true, askedAt: c.log.last(), probing: true}
-	c.refreshOthers()
+	c.progress[id] = &progress{next: c.log.last() + 1, disk: disk, learner: true, newcomer: true, catchUpTarget: c.log.last(), probing: true}
+	c.updatePeers()
 	c.sendAppend(id, c.progress[id])
 }
 
-// silentVoter returns the voter that was silent for longest, if for long enough
-// to be replaced, or "".
-func (c *Core) silentVoter() string {
+// longestSilentVoter returns the voter that has been silent for longest, or "" if none
+// has been silent for ReplaceTicks.
+func (c *Core) longestSilentVoter() string {
 	longest, name := c.cfg.ReplaceTicks, ""
-	for _, id := range c.others {
+	for _, id := range c.peers {
 		p := c.progress[id]
-		if p != nil && diskIn(c.membership.Voters, id) != 0 && p.silent >= longest {
-			longest, name = p.silent, id
+		if p != nil && diskIn(c.membership.Voters, id) != 0 && p.silentTicks >= longest {
+			longest, name = p.silentTicks, id
 		}
 	}
 	return name
 }
 
-// askPlace has a voter that finds no leader ask whether it still has its place.
-func (c *Core) askPlace() {
+// probeMembership makes a voter that finds no leader ask the other members whether it
+// is still a voter.
+func (c *Core) probeMembership() {
 	if c.cfg.ReplaceTicks == 0 {
 		return
 	}
-	asked := slices.Concat(c.others, c.cfg.Members)
-	slices.Sort(asked)
-	for _, id := range slices.Compact(asked) {
+	targets := slices.Concat(c.peers, c.cfg.Members)
+	slices.Sort(targets)
+	for _, id := range slices.Compact(targets) {
 		if id != c.cfg.ID {
 			c.send(Message{Type: MsgProbe, To: id})
 		}
 	}
 }
 
-// losePlace takes the vote from a member that others do not know any more under
-// this disk, though they know what was committed up to the newest list that it
-// has. One that knows less may be from before this member got its place: to believe
-// it would leave the group without a majority when other disks are lost.
-func (c *Core) losePlace(m Message) {
-	if c.cfg.ReplaceTicks == 0 || m.Fresh || m.Placed || m.Commit <= c.newestList() || c.role == Leader {
+// checkRemoved revokes the vote of this member if the sender of m no longer knows it
+// under this disk and has a commit index above the newest voter list of this member. A
+// sender that knows less may have a state from before this member became a voter; if
+// it were trusted, the group could lose its majority when other disks are lost.
+func (c *Core) checkRemoved(m Message) {
+	if c.cfg.ReplaceTicks == 0 || m.Fresh || m.Placed || m.Commit <= c.latestVotersIndex() || c.role == Leader {
 		return
 	}
-	c.membership.loseVote()
+	c.membership.demote()
 	c.membershipChanged = true
 	c.becomeFollower(c.term, "")
-	c.refreshOthers()
+	c.updatePeers()
 }
 
-// newestList is the index of the newest list of voters that this member has,
+// latestVotersIndex returns the index of the newest voter list known to this member,
 // committed or not.
-func (c *Core) newestList() uint64 {
+func (c *Core) latestVotersIndex() uint64 {
 	for i := c.log.last(); i > max(c.log.snapshot.Index, c.membership.VotersAt); i-- {
 		if c.log.entries[i-c.log.first()].Voters != nil {
 			return i
@@ -137,9 +139,9 @@
 	return c.membership.VotersAt
 }
 
-// replacing returns the list of voters in the log that is not committed and has
-// other members than the one that is; nil without one.
-func (c *Core) replacing() []Voter {
+// jointVoters returns the pending voter list if it contains members that the committed
+// list does not, or nil. Both lists are then in effect (joint consensus).
+func (c *Core) jointVoters() []Voter {
 	pending := c.log.pendingVoters()
 	for _, v := range pending {
 		if diskIn(c.membership.Voters, v.Member) == 0 {
--- a/internal/process/replica/replace_test.go
+++ b/internal/process/replica/replace_test.go
@@ -6,10 +6,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestOldKnowledgeTakesNoPlace restarts a voter whose commit index lags on disk, as
-// it may, behind the list that brought the voter its place, and an older list that
-// lacks it. Neither its own log up to that index nor another member that knows no
-// more may take its vote: with two disks lost besides, the group had no majority.
+// TestOldKnowledgeTakesNoPlace guards against a voter that loses its vote because of
+// outdated information. The commit index on its disk may lag behind the list that made
+// it a voter and behind an older list without it. Neither its own log up to that index
+// nor a member that knows no more may revoke its vote: if two other disks were lost as
+// well, the group would have no majority.
 func TestOldKnowledgeTakesNoPlace(t *testing.T) {
 	c := qt.New(t)
 	members := []string{"a", "b", "c"}
@@ -22,12 +23,12 @@
 			Membership: Membership{Disk: 4, Voting: true, Voters: newer, VotersAt: 4, Group: groupHash(members)},
 			Entries:    entries,
 		})
-		told := Message{Type: MsgProbeReply, From: "a", To: "d", Hint: 4, Disk: 1, Group: groupHash(members), Commit: 3}
-		core.Step(told)
+		reply := Message{Type: MsgProbeReply, From: "a", To: "d", Hint: 4, Disk: 1, Group: groupHash(members), Commit: 3}
+		core.Step(reply)
 		c.Check(core.Membership().Voting, qt.IsTrue, qt.Commentf("commit %d", commit))
-		// One that knows more, and of no place, is believed.
-		told.Commit = 5
-		core.Step(told)
+		// A member that knows more, and does not list this one as a voter, is trusted.
+		reply.Commit = 5
+		core.Step(reply)
 		c.Check(core.Membership().Voting, qt.IsFalse)
 	}
 }
--- a/internal/process/replica/types.go
+++ b/internal/process/replica/types.go
@@ -1,95 +1,99 @@
-// Package replica decides how the members of a group agree on one log: terms,
-// elections with pre-vote and check-quorum, log matching, commit by a majority
-// in the leader's own term, after Ongaro and Ousterhout, "In Search of an
-// Understandable Consensus Algorithm" (2014), and Ongaro's thesis for pre-vote
-// and for sending entries while the leader still writes them. A member whose
-// disk was lost comes back as a learner: see membership.go.
+// Package replica implements the consensus algorithm of one replicated log, a variant
+// of Raft: terms, elections with pre-vote and check-quorum, log matching, and commit
+// by a majority in the leader's own term. It follows Ongaro and Ousterhout, "In Search
+// of an Understandable Consensus Algorithm" (2014), and Ongaro's thesis for pre-vote
+// and for sending entries while the leader is still writing them to disk. A member
+// that lost its disk rejoins as a learner, a member without a vote; see membership.go.
 //
-// The package does no I/O and reads no clock. A driver feeds it with Tick, Step
-// and Propose, then takes Ready: it sends the Early messages, makes HardState,
-// Membership, Snapshot and Entries durable, only then sends Messages, applies
-// Committed, and calls Advance.
+// The package does no I/O and reads no clock. A driver calls Tick, Step and Propose
+// and then takes Ready. It sends the Early messages, persists HardState, Membership,
+// Snapshot and Entries, and only then sends Messages, applies Committed and calls
+// Advance.
 package replica
 
-// Entry is one position of the log.
+// Entry is one log entry.
 type Entry struct {
 	Term  uint64 `cbor:"1,keyasint"`
 	Index uint64 `cbor:"2,keyasint"`
-	// Data is the command; empty for the group's own entries: the one a leader
-	// begins its term with, and lists of voters.
+	// Data is the command. It is empty in the entries that the group itself appends:
+	// the first entry of a leader's term, and voter lists.
 	Data []byte `cbor:"3,keyasint,omitempty"`
-	// Voters is the list of voters from the commit of this entry on, if set.
+	// Voters, if set, is the voter list that takes effect when this entry is
+	// committed.
 	Voters []Voter `cbor:"4,keyasint,omitempty"`
 }
 
-// size estimates the bytes of the entry on the wire.
+// size returns the estimated size of the entry on the wire, in bytes.
 func (e *Entry) size() int { return len(e.Data) + entryOverhead }
 
 const entryOverhead = 32
 
-// HardState must be durable before any message that follows from it is sent.
+// HardState is the persistent election state. It must be durable before any message
+// that depends on it is sent.
 type HardState struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Vote is who got this member's vote in Term; "" is nobody.
+	// Vote is the candidate this member voted for in Term, or "" if it did not vote.
 	Vote string `cbor:"2,keyasint,omitempty"`
-	// Commit may lag behind on disk: it is found again from the leader.
+	// Commit is the commit index. The persisted value may lag behind, because the
+	// member learns the current one from the leader again.
 	Commit uint64 `cbor:"3,keyasint"`
 }
 
-// Voter is a member together with the disk that holds its vote.
+// Voter identifies a voting member by its name and by the disk that stores its vote.
 type Voter struct {
 	Member string `cbor:"1,keyasint"`
-	// Disk is the random number a data folder got when it was created; never 0.
+	// Disk is the random ID assigned to a data directory when it was created; never 0.
 	Disk uint64 `cbor:"2,keyasint"`
 }
 
-// Membership is what a member durably knows of who may vote.
+// Membership is the persistent knowledge of a member about the voters of its group.
 type Membership struct {
-	// Disk is this member's own.
+	// Disk is the ID of this member's own disk.
 	Disk uint64 `cbor:"1,keyasint"`
-	// Voting is set once this disk may vote.
+	// Voting is set once this member may vote with this disk.
 	Voting bool `cbor:"2,keyasint,omitempty"`
-	// Learning is set when another member knew this one under another disk.
-	// At most one of Voting and Learning is set; with neither the member is
-	// fresh and asks the others.
+	// Learning is set if another member knew this one with a different disk. At most
+	// one of Voting and Learning is set. If neither is set, the member is new and
+	// probes the others.
 	Learning bool `cbor:"3,keyasint,omitempty"`
-	// Voters has one disk for each member.
+	// Voters holds one disk per voting member.
 	Voters []Voter `cbor:"4,keyasint,omitempty"`
-	// Group identifies the group by its founders; 0 is that of the configured
-	// members.
+	// Group is a hash of the names of the members that bootstrapped the group; 0 means
+	// the group of the configured members.
 	Group uint64 `cbor:"5,keyasint,omitempty"`
-	// Founding is set on a fresh member that may found the group.
-	Founding bool `cbor:"6,keyasint,omitempty"`
-	// VotersAt is the index of the entry that brought Voters; 0 before the first
-	// and in the data of older releases.
+	// MayBootstrap is set on a new member that may take part in bootstrapping the
+	// group.
+	MayBootstrap bool `cbor:"6,keyasint,omitempty"`
+	// VotersAt is the index of the entry that set Voters. It is 0 before the first
+	// such entry and in data written by older releases.
 	VotersAt uint64 `cbor:"8,keyasint,omitempty"`
-	// Newcomer is set on a learner that the group does not know, or not any more:
-	// its disk has lost nothing that it acknowledged.
+	// Newcomer is set on a learner that the group does not know, or has removed. Such
+	// a disk has not lost anything that it acknowledged.
 	Newcomer bool `cbor:"7,keyasint,omitempty"`
 }
 
-// loseVote makes a voter a learner that the group does not know any more.
-func (m *Membership) loseVote() { m.Voting, m.Learning, m.Newcomer = false, true, true }
+// demote turns a voter into a learner that the group no longer knows.
+func (m *Membership) demote() { m.Voting, m.Learning, m.Newcomer = false, true, true }
 
-// Snapshot stands for all entries up to Index.
+// Snapshot replaces all log entries up to Index.
 type Snapshot struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Term  uint64 `cbor:"2,keyasint"`
 	Data  []byte `cbor:"3,keyasint"`
-	// Voters is who votes at Index or later.
+	// Voters is the voter list in effect at Index or later.
 	Voters []Voter `cbor:"4,keyasint,omitempty"`
 }
 
-// Restored is what the driver read back from disk.
+// Restored is the state that the driver read from disk.
 type Restored struct {
 	HardState  HardState
 	Membership Membership
 	Snapshot   Snapshot
-	// Entries follow Snapshot.Index without a gap.
+	// Entries continue from Snapshot.Index without a gap.
 	Entries []Entry
 }
 
-// MessageType tells what a Message is.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The message types.
@@ -101,48 +105,53 @@
 	MsgAppend
 	MsgAppendReply
 	MsgSnapshot
-	// MsgProbe asks what the others know of a member that has no vote yet.
+	// MsgProbe asks what the receiver knows about the sender, which does not have a
+	// vote yet or may have been removed.
 	MsgProbe
 	MsgProbeReply
 )
 
-// Message is what members send one another.
+// Message is a message between two members.
 type Message struct {
 	Type MessageType
 	From string
 	To   string
-	// Disk is the sender's disk, Voting whether the sender holds that it votes.
+	// Disk is the ID of the sender's disk. Voting reports whether the sender considers
+	// itself a voter.
 	Disk   uint64
 	Voting bool
-	// Newcomer is set if the sender has no vote yet, and its disk lost nothing.
+	// Newcomer is set if the sender has no vote yet and its disk has not lost
+	// anything.
 	Newcomer bool
-	// Group identifies the sender's group; 0 on a newcomer that knows of none.
+	// Group is the sender's group; 0 if the sender is new and does not know its group.
 	Group uint64
-	// Term is the sender's term; in a pre-vote the term it would campaign in.
+	// Term is the sender's term. In a pre-vote it is the term that the sender would
+	// campaign in.
 	Term uint64
-	// Index and LogTerm name the entry before Entries (append), the last entry
-	// of the candidate (votes), or the last matching entry (append reply).
+	// Index and LogTerm identify the entry before Entries (append), the last entry of
+	// the candidate (votes), or the last matching entry (append reply).
 	Index   uint64
 	LogTerm uint64
 	Entries []Entry
 	Commit  uint64
-	// Reject refuses a vote or an append; Hint is then the index to go on from.
+	// Reject is set if a vote or an append is rejected. Hint is then the index from
+	// which the leader should continue.
 	Reject   bool
 	Hint     uint64
 	Snapshot *Snapshot
-	// Known is, in a probe's reply, the disk under which the sender knows the
-	// asker, if the sender has voters at all.
+	// Known is set in a probe reply: the ID of the disk under which the sender knows
+	// the probing member, or 0.
 	Known uint64
-	// Fresh is, in a probe's reply, whether the sender has no voters yet.
+	// Fresh is set in a probe reply if the sender has no vote.
 	Fresh bool
-	// Placed is, in a probe's reply, whether the asker's disk is in the list of
-	// voters that the sender knows to be committed.
+	// Placed is set in a probe reply if the disk of the probing member is in the
+	// committed voter list known to the sender.
 	Placed bool
-	// Lead is, in a probe's reply, the leader that the sender knows, or "".
+	// Lead is set in a probe reply: the leader known to the sender, or "".
 	Lead string
 }
 
-// Role is what a member is in its term.
+// Role is the role of a member in its current term.
 type Role uint8
 
 // The roles.
@@ -158,31 +167,31 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Ready is what the driver must do before it calls Advance.
+// Ready is the work that the driver must complete before it calls Advance.
 type Ready struct {
-	// Early may be sent before anything is durable.
+	// Early messages may be sent before anything is durable.
 	Early []Message
-	// HardState is set when it must be durable before Messages leave.
+	// HardState, if set, must be durable before Messages are sent.
 	HardState *HardState
-	// Membership is set when it changed.
+	// Membership is set if it changed.
 	Membership *Membership
-	// Snapshot replaces the whole log, entries after its Index included.
+	// Snapshot, if set, replaces the whole log, including entries after its Index.
 	Snapshot *Snapshot
-	// Entries are to be appended; they overwrite whatever has their indices or
-	// higher ones.
+	// Entries must be appended. They overwrite existing entries with the same or
+	// higher indices.
 	Entries []Entry
-	// Messages are to be sent after everything above is synced.
+	// Messages must be sent after everything above is durable.
 	Messages []Message
-	// Committed are to be applied in order.
+	// Committed entries must be applied in order.
 	Committed []Entry
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work.
 func (r *Ready) Empty() bool {
 	return !r.Durable() && len(r.Early) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0
 }
 
-// Durable reports whether there is something to persist.
+// Durable reports whether there is anything to persist.
 func (r *Ready) Durable() bool {
 	return r.HardState != nil || r.Membership != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
