--- a/internal/process/quorum/encoding.go
+++ b/internal/process/quorum/encoding.go
@@ -5,8 +5,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// encoding writes times with their nanoseconds. The codec's default is whole seconds, in
-// which three changes of a busy second have one time in the history.
+// encoding writes times with nanoseconds. The default of the codec is whole seconds,
+// which gives several changes within one second the same time in the history.
 var encoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
@@ -15,8 +15,8 @@
 	return mode
 }()
 
-// Encode returns the CBOR form of what a state machine's commands, answers and images are
-// made of. cbor.Unmarshal reads it, and what older releases wrote.
+// Encode returns the CBOR encoding of a command, an answer or a snapshot of a state
+// machine. cbor.Unmarshal decodes it, as well as data written by older releases.
 func Encode(v any) ([]byte, error) {
 	raw, err := encoding.Marshal(v)
 	return raw, errors.Wrap(err, "encode")
--- a/internal/process/quorum/group.go
+++ b/internal/process/quorum/group.go
@@ -15,48 +15,47 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Config is fixed for the life of a Group.
+// Config configures a Group. It does not change during the lifetime of the Group.
 type Config struct {
-	// ID is this member's name; Members lists all, this one included.
+	// ID is the name of this member. Members lists all members, including this one.
 	ID      string
 	Members []string
-	// DataDir is the group's own folder.
+	// DataDir is the data directory of the group. Groups must not share it.
 	DataDir string
-	// TickInterval is the time of one tick.
+	// TickInterval is the duration of one tick.
 	TickInterval time.Duration
-	// ElectionTicks, HeartbeatTicks and FirstTicks are passed to replica.
+	// ElectionTicks, HeartbeatTicks and FirstTicks are passed to replica.Config.
 	ElectionTicks  int
 	HeartbeatTicks int
 	FirstTicks     int
-	// Joins, ReplaceTicks and Voters are passed to replica.
+	// Joins, ReplaceTicks and Voters are passed to replica.Config.
 	Joins        bool
 	ReplaceTicks int
 	Voters       int
 	Seed         uint64
-	// Idempotent says that the state machine answers a resent command with its
-	// first answer: Propose then resends when an outcome is unknown.
+	// Idempotent states that the state machine answers a resent command with its first
+	// answer. Propose then resends a command whose outcome is unknown.
 	Idempotent bool
 }
 
-// inboxLimit bounds what waits for the goroutine in Run.
-const inboxLimit = 1024
+// queueCapacity is the capacity of each queue of the goroutine in Run.
+const queueCapacity = 1024
 
 const (
-	// retryInterval is how long a proposal waits before it looks for a leader
-	// again.
+	// retryInterval is the delay between two attempts of a proposal.
 	retryInterval = 20 * time.Millisecond
-	// attemptTimeout bounds one attempt of an idempotent proposal, so that a
-	// lost leader does not use up the whole deadline.
+	// attemptTimeout limits one attempt of an idempotent proposal, so that a lost
+	// leader does not use up the whole deadline.
 	attemptTimeout = time.Second
 )
 
 type proposal[R any] struct {
-	data   []byte
-	answer func(R, error)
+	data     []byte
+	callback func(R, error)
 }
 
-// Group is one running member of a replicated group. All state behind the
-// channels is owned by the goroutine in Run.
+// Group is a running member of a replicated group. The goroutine in Run owns all state
+// behind the channels.
 type Group[R any] struct {
 	cfg       Config
 	node      *Node[R]
@@ -67,11 +66,11 @@
 	proposals chan proposal[R]
 	queries   chan func()
 	status    atomic.Pointer[Status]
-	// applying is the time of all rounds in which something was applied.
-	applying time.Duration
+	// applyTime is the total duration of all rounds in which entries were applied.
+	applyTime time.Duration
 }
 
-// Open reads the data folder. Run drives the group.
+// Open reads the data directory and returns a Group. The caller must call Run.
 func Open[R any](cfg Config, machine StateMachine[R], transport Transport, log logr.Logger) (*Group[R], error) {
 	dir, err := storage.NewOSDir(cfg.DataDir)
 	if err != nil {
@@ -91,15 +90,15 @@
 	}
 	g := &Group[R]{
 		cfg: cfg, node: node, transport: transport, log: log,
-		inbox:     make(chan []replica.Message, inboxLimit),
-		proposals: make(chan proposal[R], inboxLimit),
+		inbox:     make(chan []replica.Message, queueCapacity),
+		proposals: make(chan proposal[R], queueCapacity),
 		queries:   make(chan func()),
 	}
-	g.publish()
+	g.publishStatus()
 	return g, nil
 }
 
-// Deliver takes in messages of other members; it drops them when overrun.
+// Deliver enqueues messages from other members. It drops them if the queue is full.
 func (g *Group[R]) Deliver(messages []replica.Message) {
 	select {
 	case g.inbox <- messages:
@@ -107,80 +106,82 @@
 	}
 }
 
-// Status returns the newest status.
+// Status returns the latest status.
 func (g *Group[R]) Status() Status { return *g.status.Load() }
 
-// Leads reports whether this member leads the group.
+// Leads reports whether this member is the leader of the group.
 func (g *Group[R]) Leads() bool { return g.Status().Role == replica.Leader.String() }
 
-// Run drives the group until ctx ends. A failed disk does not end it.
+// Run drives the group until ctx is done. A disk failure does not end it.
 func (g *Group[R]) Run(ctx context.Context) error {
 	ticker := time.NewTicker(g.cfg.TickInterval)
 	defer ticker.Stop()
-	// What the log holds is applied before its newest state is handed out.
-	g.settle()
-	g.publish()
+	// Apply the log before the state is first published.
+	g.processReady()
+	g.publishStatus()
 	for {
 		select {
 		case <-ctx.Done():
-			g.node.dropWaiters(result.Errorf(result.CommitUnknown, "the daemon stops"))
+			g.node.failWaiters(result.Errorf(result.CommitUnknown, "the daemon is stopping"))
 			return g.node.disk.Close()
 		case <-ticker.C:
 			g.node.Tick()
 		case messages := <-g.inbox:
 			g.node.Step(messages)
 		case p := <-g.proposals:
-			g.node.Propose(p.data, p.answer)
+			g.node.Propose(p.data, p.callback)
 		case query := <-g.queries:
 			query()
 		}
-		g.more()
-		g.settle()
-		g.publish()
+		g.drainQueues()
+		g.processReady()
+		g.publishStatus()
 	}
 }
 
-// more takes in what else waits, so that one sync serves all of it.
-func (g *Group[R]) more() {
-	for range inboxLimit {
+// drainQueues processes everything that is queued, so that one disk sync covers all of
+// it.
+func (g *Group[R]) drainQueues() {
+	for range queueCapacity {
 		select {
 		case messages := <-g.inbox:
 			g.node.Step(messages)
 		case p := <-g.proposals:
-			g.node.Propose(p.data, p.answer)
+			g.node.Propose(p.data, p.callback)
 		default:
 			return
 		}
 	}
 }
 
-// settle lets the node finish, and measures it if something was applied.
-func (g *Group[R]) settle() {
-	before, began := g.node.work, time.Now()
+// processReady makes the node process its pending work and measures the time if
+// entries were applied.
+func (g *Group[R]) processReady() {
+	before, began := g.node.stats, time.Now()
 	g.node.Settle()
-	entries := g.node.work.Entries - before.Entries
+	entries := g.node.stats.Entries - before.Entries
 	if entries == 0 {
 		return
 	}
 	took := time.Since(began)
-	g.applying += took
+	g.applyTime += took
 	if before.Entries == 0 {
-		g.log.Info("log applied after the start", "entries", entries, "bytes", g.node.work.Bytes,
+		g.log.Info("log applied after the start", "entries", entries, "bytes", g.node.stats.Bytes,
 			"snapshot_bytes", before.SnapshotBytes, "took", took.String())
 	}
 }
 
-func (g *Group[R]) publish() {
+func (g *Group[R]) publishStatus() {
 	status := g.node.Status()
-	status.Applied.Time = g.applying
+	status.Applied.Time = g.applyTime
 	if before := g.status.Swap(&status); before != nil && status.differs(before) {
 		g.log.Info("group", "leader", status.Lead, "role", status.Role, "term", status.Term, "voters", status.Members,
 			"own_vote", status.Repair.State, "commit", status.Commit, "last", status.Last, "failure", status.Failure)
 	}
 }
 
-// Query runs f on the goroutine that owns the state machine: a local read,
-// which may be behind the leader.
+// Query runs f on the goroutine that owns the state machine. It is a local read, which
+// may lag behind the leader.
 func (g *Group[R]) Query(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
@@ -192,30 +193,30 @@
 	}
 }
 
-// Propose commits a command here or through the leader and returns the state
-// machine's answer. While no leader is known it waits for one until ctx ends.
-// An error is a *result.Error: CommitUnknown means that the command may be committed or
-// may yet be, every other code that it certainly was not.
+// Propose commits a command, locally or through the leader, and returns the answer of
+// the state machine. While no leader is known it retries until ctx is done. An error
+// is a *result.Error: CommitUnknown means that the command may be committed, now or
+// later; any other code means that it is not and never will be.
 func (g *Group[R]) Propose(ctx context.Context, data []byte) (R, error) {
-	var unknown error
+	var unknownErr error
 	for {
-		answer, err := g.attempt(ctx, data)
-		if codeOf(err) == result.CommitUnknown {
-			unknown = err
+		answer, err := g.proposeOnce(ctx, data)
+		if errorCode(err) == result.CommitUnknown {
+			unknownErr = err
 		}
 		if !g.retryable(err) {
 			return answer, err
 		}
 		select {
 		case <-ctx.Done():
-			return answer, cmp.Or(unknown, err)
+			return answer, cmp.Or(unknownErr, err)
 		case <-time.After(retryInterval):
 		}
 	}
 }
 
 func (g *Group[R]) retryable(err error) bool {
-	switch codeOf(err) {
+	switch errorCode(err) {
 	case result.NoQuorum, result.StorageFailed, result.StateDiverged, result.FormatUnknown:
 		return true
 	case result.CommitUnknown:
@@ -225,8 +226,8 @@
 	}
 }
 
-// codeOf returns the code of an error of this package.
-func codeOf(err error) result.Code {
+// errorCode returns the code of an error of this package, or OK.
+func errorCode(err error) result.Code {
 	var e *result.Error
 	if errors.As(err, &e) {
 		return e.Code
@@ -234,8 +235,8 @@
 	return result.OK
 }
 
-func (g *Group[R]) attempt(ctx context.Context, data []byte) (R, error) {
-	var none R
+func (g *Group[R]) proposeOnce(ctx context.Context, data []byte) (R, error) {
+	var zero R
 	if g.cfg.Idempotent {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, attemptTimeout)
@@ -243,17 +244,17 @@
 	}
 	status := g.Status()
 	if status.Failure == "" && g.Leads() {
-		return g.local(ctx, data)
+		return g.proposeLocal(ctx, data)
 	}
 	if status.Lead == "" || status.Lead == g.cfg.ID {
 		if status.Failure != "" {
-			return none, result.Errorf(status.FailureCode, "%s", status.Failure)
+			return zero, result.Errorf(status.FailureCode, "%s", status.Failure)
 		}
-		return none, errNoLeader
+		return zero, errNoLeader
 	}
 	reply, err := g.transport.Propose(ctx, status.Lead, data)
 	if err != nil {
-		return none, result.Errorf(result.CommitUnknown, "leader %s: %v", status.Lead, err)
+		return zero, result.Errorf(result.CommitUnknown, "leader %s: %v", status.Lead, err)
 	}
 	return decodeReply[R](reply)
 }
@@ -264,32 +265,33 @@
 		return answer, &result.Error{Code: reply.Code, Detail: reply.Detail}
 	}
 	if err := cbor.Unmarshal(reply.Result, &answer); err != nil {
-		return answer, result.Errorf(result.CommitUnknown, "answer of the leader: %v", err)
+		return answer, result.Errorf(result.CommitUnknown, "decode answer of the leader: %v", err)
 	}
 	return answer, nil
 }
 
-// local proposes on this member alone.
-func (g *Group[R]) local(ctx context.Context, data []byte) (R, error) {
-	var none R
+// proposeLocal proposes on this member only.
+func (g *Group[R]) proposeLocal(ctx context.Context, data []byte) (R, error) {
+	var zero R
 	done := make(chan outcome[R], 1)
-	p := proposal[R]{data: data, answer: func(r R, err error) { done <- outcome[R]{r, err} }}
+	p := proposal[R]{data: data, callback: func(r R, err error) { done <- outcome[R]{r, err} }}
 	select {
 	case g.proposals <- p:
 	case <-ctx.Done():
-		return none, result.Errorf(result.NoQuorum, "busy")
+		return zero, result.Errorf(result.NoQuorum, "proposal was not queued before the deadline")
 	}
 	select {
 	case o := <-done:
 		return o.result, o.err
 	case <-ctx.Done():
-		return none, result.Errorf(result.CommitUnknown, "no commit in time")
+		return zero, result.Errorf(result.CommitUnknown, "command was not committed before the deadline")
 	}
 }
 
-// Serve is the far side of Transport.Propose: it proposes here only.
+// Serve handles a command that another member forwarded with Transport.Propose. It
+// proposes on this member only.
 func (g *Group[R]) Serve(ctx context.Context, data []byte) Reply {
-	answer, err := g.local(ctx, data)
+	answer, err := g.proposeLocal(ctx, data)
 	var e *result.Error
 	if errors.As(err, &e) {
 		return Reply{Code: e.Code, Detail: e.Detail}
--- a/internal/process/quorum/group_test.go
+++ b/internal/process/quorum/group_test.go
@@ -20,7 +20,8 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// counter numbers each distinct command; a resent one gets its first number.
+// counter is a state machine that numbers distinct commands. A resent command gets its
+// first number.
 type counter struct{ numbers map[string]uint64 }
 
 func (c *counter) Apply(_, _ uint64, data []byte) (uint64, error) {
@@ -38,52 +39,52 @@
 
 func (c *counter) Restore([]byte) error { return nil }
 
-// groups are the members of one group in this process, on real files.
-type groups struct {
+// cluster runs the members of one group in this process, with real files.
+type cluster struct {
 	members map[string]*Group[uint64]
 	cancel  map[string]context.CancelFunc
 	stopped map[string]*atomic.Bool
 	wait    sync.WaitGroup
 }
 
-func newGroups(tb testing.TB, tick time.Duration) *groups {
-	gs := &groups{members: map[string]*Group[uint64]{}, cancel: map[string]context.CancelFunc{}, stopped: map[string]*atomic.Bool{}}
+func newCluster(tb testing.TB, tick time.Duration) *cluster {
+	cl := &cluster{members: map[string]*Group[uint64]{}, cancel: map[string]context.CancelFunc{}, stopped: map[string]*atomic.Bool{}}
 	ids := []string{"a", "b", "c"}
 	dir := tb.TempDir()
 	for i, id := range ids {
 		g, err := Open(Config{
 			ID: id, Members: ids, DataDir: filepath.Join(dir, id), TickInterval: tick,
 			ElectionTicks: 10, HeartbeatTicks: 2, Seed: uint64(i), Idempotent: true,
-		}, &counter{numbers: map[string]uint64{}}, gs, logr.Discard())
+		}, &counter{numbers: map[string]uint64{}}, cl, logr.Discard())
 		if err != nil {
 			tb.Fatal(err)
 		}
-		gs.members[id] = g
-		gs.stopped[id] = &atomic.Bool{}
+		cl.members[id] = g
+		cl.stopped[id] = &atomic.Bool{}
 	}
-	for id, g := range gs.members {
+	for id, g := range cl.members {
 		ctx, cancel := context.WithCancel(context.Background())
-		gs.cancel[id] = cancel
-		gs.wait.Go(func() { _ = g.Run(ctx) })
+		cl.cancel[id] = cancel
+		cl.wait.Go(func() { _ = g.Run(ctx) })
 	}
-	return gs
+	return cl
 }
 
-func (gs *groups) stop(id string) {
-	gs.stopped[id].Store(true)
-	gs.cancel[id]()
+func (cl *cluster) stop(id string) {
+	cl.stopped[id].Store(true)
+	cl.cancel[id]()
 }
 
-func (gs *groups) close() {
-	for id := range gs.members {
-		gs.stop(id)
+func (cl *cluster) close() {
+	for id := range cl.members {
+		cl.stop(id)
 	}
-	gs.wait.Wait()
+	cl.wait.Wait()
 }
 
-func (gs *groups) leader() string {
-	for id, g := range gs.members {
-		if g.Leads() && !gs.stopped[id].Load() {
+func (cl *cluster) leader() string {
+	for id, g := range cl.members {
+		if g.Leads() && !cl.stopped[id].Load() {
 			return id
 		}
 	}
@@ -91,37 +92,38 @@
 }
 
 // Send implements Transport.
-func (gs *groups) Send(to string, messages []replica.Message) {
-	if !gs.stopped[to].Load() {
-		gs.members[to].Deliver(messages)
+func (cl *cluster) Send(to string, messages []replica.Message) {
+	if !cl.stopped[to].Load() {
+		cl.members[to].Deliver(messages)
 	}
 }
 
-// Propose implements Transport; a stopped member never answers.
-func (gs *groups) Propose(ctx context.Context, to string, data []byte) (Reply, error) {
-	if gs.stopped[to].Load() {
+// Propose implements Transport. A stopped member never replies.
+func (cl *cluster) Propose(ctx context.Context, to string, data []byte) (Reply, error) {
+	if cl.stopped[to].Load() {
 		<-ctx.Done()
 		return Reply{}, ctx.Err()
 	}
-	return gs.members[to].Serve(ctx, data), nil
+	return cl.members[to].Serve(ctx, data), nil
 }
 
-// TestProposeThroughElection proposes at a follower before there is a leader,
-// and again while the leader is lost: each waits for the new leader within its
-// deadline and is applied once.
+// TestProposeThroughElection guards against proposals that fail or are applied twice
+// during an election. It proposes on a follower before there is a leader, and again
+// after the leader is lost: each proposal must wait for the new leader within its
+// deadline and be applied once.
 func TestProposeThroughElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		gs := newGroups(t, 50*time.Millisecond)
-		defer gs.close()
+		cl := newCluster(t, 50*time.Millisecond)
+		defer cl.close()
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		first, err := gs.members["a"].Propose(ctx, []byte("first"))
+		first, err := cl.members["a"].Propose(ctx, []byte("first"))
 		c.Assert(err, qt.IsNil)
 		c.Assert(first, qt.Equals, uint64(1))
-		lead := gs.leader()
-		gs.stop(lead)
-		for id, g := range gs.members {
+		lead := cl.leader()
+		cl.stop(lead)
+		for id, g := range cl.members {
 			if id == lead {
 				continue
 			}
@@ -129,15 +131,15 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(again, qt.Equals, first)
 		}
-		gs.stop(gs.leader())
-		late, expire := context.WithTimeout(context.Background(), 3*time.Second)
-		defer expire()
-		for id, g := range gs.members {
-			if !gs.stopped[id].Load() {
-				_, err = g.Propose(late, []byte("second"))
+		cl.stop(cl.leader())
+		shortCtx, cancelShort := context.WithTimeout(context.Background(), 3*time.Second)
+		defer cancelShort()
+		for id, g := range cl.members {
+			if !cl.stopped[id].Load() {
+				_, err = g.Propose(shortCtx, []byte("second"))
 			}
 		}
-		code := codeOf(err)
+		code := errorCode(err)
 		c.Assert(code == result.NoQuorum || code == result.CommitUnknown, qt.IsTrue, qt.Commentf("%v", err))
 	})
 }
@@ -150,12 +152,12 @@
 }
 
 func benchmarkCommit(b *testing.B, proposers int) {
-	gs := newGroups(b, 10*time.Millisecond)
-	defer gs.close()
-	if _, err := gs.members["a"].Propose(context.Background(), []byte("first")); err != nil {
+	cl := newCluster(b, 10*time.Millisecond)
+	defer cl.close()
+	if _, err := cl.members["a"].Propose(context.Background(), []byte("first")); err != nil {
 		b.Fatal(err)
 	}
-	leader := gs.members[gs.leader()]
+	leader := cl.members[cl.leader()]
 	before := leader.Status()
 	histogram := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
@@ -186,7 +188,7 @@
 	b.ReportMetric(float64(histogram.ValueAtQuantile(99))/1e6, "p99-ms")
 }
 
-// BenchmarkSync is the floor under a commit: one synced 1 KiB append.
+// BenchmarkSync measures one synced 1 KiB append, the lower bound of a commit.
 func BenchmarkSync(b *testing.B) {
 	dir, err := storage.NewOSDir(b.TempDir())
 	if err != nil {
--- a/internal/process/quorum/node.go
+++ b/internal/process/quorum/node.go
@@ -9,28 +9,28 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// outcome is the end of one proposal.
+// outcome is the result of one proposal.
 type outcome[R any] struct {
 	result R
 	err    error
 }
 
-// waiter is a proposal that was appended and is not yet applied.
+// waiter is a proposal that is in the log but not applied yet.
 type waiter[R any] struct {
-	term   uint64
-	answer func(R, error)
+	term     uint64
+	callback func(R, error)
 }
 
-// A snapshot replaces the log when the log has grown by as much as the last
-// snapshot and by compactAfter entries or compactBytes: so a snapshot costs each
-// entry no more than its own size, however large the state is, and a member that
-// starts has no more to apply than to restore.
+// A snapshot replaces the log once the log has grown by the size of the last snapshot,
+// and by compactMinEntries entries or by compactMinBytes more. The cost of a snapshot
+// per entry is then at most the size of the entry, however large the state is, and a
+// member that starts has no more to apply than to restore.
 const (
-	compactAfter = 16
-	compactBytes = 4 << 20
+	compactMinEntries = 16
+	compactMinBytes   = 4 << 20
 )
 
-// Node is one member of a group, driven synchronously. It is not safe for
+// Node is a member of a group that is driven synchronously. It is not safe for
 // concurrent use.
 type Node[R any] struct {
 	core    *replica.Core
@@ -38,20 +38,23 @@
 	machine StateMachine[R]
 	send    func(to string, messages []replica.Message)
 	log     logr.Logger
-	// waiters by index; each is answered exactly once.
+	// waiters holds the proposals by index. Each callback is called exactly once.
 	waiters map[uint64]waiter[R]
-	// failed is set once and ends all writing, sending and accepting.
+	// failed is set at most once. Then nothing is written, sent or accepted any more.
 	failed error
-	// observedTerm and observedLead are what a failed member hears of.
+	// observedTerm and observedLead are the term and the leader that a failed member
+	// learns from messages.
 	observedTerm uint64
 	observedLead string
-	// compactAfter is the number of entries that may call for a snapshot.
+	// compactAfter is the number of log entries from which a snapshot may be taken.
 	compactAfter uint64
-	// work counts what was applied; its Time is kept by Group, which has a clock.
-	work Applied
+	// stats counts the applied entries and snapshots. Its Time is maintained by Group,
+	// which has a clock.
+	stats Applied
 }
 
-// NewNode joins what was restored from disk to the state machine.
+// NewNode returns a Node with the state restored from disk, and restores the state
+// machine from the snapshot.
 func NewNode[R any](cfg replica.Config, restored replica.Restored, disk Storage, machine StateMachine[R],
 	send func(to string, messages []replica.Message), log logr.Logger) (*Node[R], error) {
 	if restored.Snapshot.Index > 0 {
@@ -60,67 +63,69 @@
 		}
 	}
 	return &Node[R]{
-		compactAfter: compactAfter, core: replica.New(cfg, restored), disk: disk, machine: machine, send: send, log: log,
-		waiters: map[uint64]waiter[R]{}, work: Applied{SnapshotBytes: len(restored.Snapshot.Data)},
+		compactAfter: compactMinEntries, core: replica.New(cfg, restored), disk: disk, machine: machine, send: send, log: log,
+		waiters: map[uint64]waiter[R]{}, stats: Applied{SnapshotBytes: len(restored.Snapshot.Data)},
 	}, nil
 }
 
-// SetCompactAfter sets the number of entries after which a snapshot may replace
-// them; compactAfter unless set.
+// SetCompactAfter sets the number of log entries from which a snapshot may be taken.
+// The default is compactMinEntries.
 func (n *Node[R]) SetCompactAfter(entries uint64) { n.compactAfter = entries }
 
-// Tick advances time by one unit.
+// Tick advances the logical clock by one tick.
 func (n *Node[R]) Tick() {
 	if n.failed == nil {
 		n.core.Tick()
 	}
 }
 
-// Step takes in messages of another member.
+// Step processes messages from another member.
 func (n *Node[R]) Step(messages []replica.Message) {
 	for _, m := range messages {
 		if n.failed != nil {
-			n.observe(m)
+			n.observeLeader(m)
 			continue
 		}
 		n.core.Step(m)
 	}
 }
 
-// observe keeps a failed member able to tell who leads.
-func (n *Node[R]) observe(m replica.Message) {
+// observeLeader lets a failed member still report who is the leader.
+func (n *Node[R]) observeLeader(m replica.Message) {
 	if m.Type == replica.MsgAppend && m.Term >= n.observedTerm {
 		n.observedTerm = m.Term
 		n.observedLead = m.From
 	}
 }
 
-// Propose appends a command if this member leads; answer is called once, with
-// the state machine's answer after the commit or with an error.
-func (n *Node[R]) Propose(data []byte, answer func(R, error)) {
-	var none R
+// Propose appends a command to the log if this member is the leader. The callback is
+// called once, with the answer of the state machine after the commit, or with an
+// error.
+func (n *Node[R]) Propose(data []byte, callback func(R, error)) {
+	var zero R
 	if n.failed != nil {
-		answer(none, result.Errorf(failureCode(n.failed), "%v", n.failed))
+		callback(zero, result.Errorf(failureCode(n.failed), "%v", n.failed))
 		return
 	}
 	if len(data) > storage.MaxData {
-		answer(none, result.Errorf(result.InputTooLarge, "%d bytes, at most %d", len(data), storage.MaxData))
+		callback(zero, result.Errorf(result.InputTooLarge, "command has %d bytes, limit is %d", len(data), storage.MaxData))
 		return
 	}
-	if refused := n.check(data); refused != nil {
-		answer(none, refused)
+	if refused := n.checkCommand(data); refused != nil {
+		callback(zero, refused)
 		return
 	}
 	index, term, err := n.core.Propose(data)
 	if err != nil {
-		answer(none, result.Errorf(result.NoQuorum, "%v", err))
+		callback(zero, result.Errorf(result.NoQuorum, "%v", err))
 		return
 	}
-	n.waiters[index] = waiter[R]{term: term, answer: answer}
+	n.waiters[index] = waiter[R]{term: term, callback: callback}
 }
 
-// check asks the state machine of a leader whether a command may enter the log.
-func (n *Node[R]) check(data []byte) *result.Error {
+// checkCommand asks the state machine of a leader whether a command may be appended to
+// the log.
+func (n *Node[R]) checkCommand(data []byte) *result.Error {
 	checker, checks := n.machine.(Checker)
 	if !checks || n.core.Role() != replica.Leader {
 		return nil
@@ -128,7 +133,7 @@
 	return checker.Check(data)
 }
 
-// Settle carries out what the core decided, until nothing is left. After a
+// Settle processes the work returned by the core until there is none left. After a
 // failed write nothing is persisted, sent or accepted any more.
 func (n *Node[R]) Settle() {
 	for n.failed == nil {
@@ -149,25 +154,25 @@
 	}
 	n.machine.Applied()
 	if n.core.Role() != replica.Leader {
-		n.dropWaiters(errLeadLost)
+		n.failWaiters(errLeadershipLost)
 	}
 }
 
-// fail stops all acceptance here, after a failed write or with a state that differs from
-// the others'; what was applied stays readable.
+// fail stops the member after a failed write, or if its state differs from that of the
+// other members. The applied state remains readable.
 func (n *Node[R]) fail(err error) {
 	n.failed = err
 	n.core.StepDown()
 	n.observedTerm = n.core.Term()
 	n.log.Error(err, "this source has failed: nothing is accepted here any more")
-	n.dropWaiters(result.Errorf(result.CommitUnknown, "%v", err))
+	n.failWaiters(result.Errorf(result.CommitUnknown, "%v", err))
 }
 
-func (n *Node[R]) dropWaiters(err error) {
-	var none R
+func (n *Node[R]) failWaiters(err error) {
+	var zero R
 	for index, w := range n.waiters {
 		delete(n.waiters, index)
-		w.answer(none, err)
+		w.callback(zero, err)
 	}
 }
 
@@ -194,9 +199,9 @@
 	}
 }
 
-// applyAll applies a batch, lets the state machine hand out the last of its states, and
-// answers then: a burst, or the log after a restart, puts one state in force and not
-// each in turn.
+// applyAll applies a batch of entries, lets the state machine publish the resulting
+// state, and then calls the callbacks. A burst of commands, or the log after a
+// restart, therefore publishes one state and not every intermediate one.
 func (n *Node[R]) applyAll(entries []replica.Entry) {
 	answers := make([]R, len(entries))
 	applied := 0
@@ -205,8 +210,8 @@
 			break
 		}
 		applied++
-		n.work.Entries++
-		n.work.Bytes += uint64(len(e.Data))
+		n.stats.Entries++
+		n.stats.Bytes += uint64(len(e.Data))
 		if len(e.Data) == 0 {
 			continue
 		}
@@ -221,27 +226,28 @@
 	}
 	n.machine.Applied()
 	for i, e := range entries[:applied] {
-		n.answer(e, answers[i])
+		n.complete(e, answers[i])
 	}
 }
 
-func (n *Node[R]) answer(e replica.Entry, answer R) {
+func (n *Node[R]) complete(e replica.Entry, answer R) {
 	w, ok := n.waiters[e.Index]
 	if !ok {
 		return
 	}
 	delete(n.waiters, e.Index)
 	if w.term != e.Term {
-		var none R
-		w.answer(none, errLeadLost)
+		var zero R
+		w.callback(zero, errLeadershipLost)
 		return
 	}
-	w.answer(answer, nil)
+	w.callback(answer, nil)
 }
 
-// compact replaces the log by a snapshot of what is applied.
+// compact replaces the log with a snapshot of the applied state, if it has grown
+// enough.
 func (n *Node[R]) compact() {
-	if n.failed != nil || !n.compactDue() {
+	if n.failed != nil || !n.shouldCompact() {
 		return
 	}
 	data, err := n.machine.Snapshot()
@@ -252,24 +258,24 @@
 		n.fail(err)
 		return
 	}
-	n.work.Snapshots++
-	n.work.SnapshotBytes = len(data)
+	n.stats.Snapshots++
+	n.stats.SnapshotBytes = len(data)
 }
 
-func (n *Node[R]) compactDue() bool {
+func (n *Node[R]) shouldCompact() bool {
 	entries := n.core.Applied() - n.core.SnapshotIndex()
-	grown := n.disk.Size() - int64(n.work.SnapshotBytes)
+	growth := n.disk.Size() - int64(n.stats.SnapshotBytes)
 	if entries >= n.compactAfter {
-		return grown > int64(n.work.SnapshotBytes)
+		return growth > int64(n.stats.SnapshotBytes)
 	}
-	return grown > compactBytes+int64(n.work.SnapshotBytes)
+	return growth > compactMinBytes+int64(n.stats.SnapshotBytes)
 }
 
-// Status returns what this member knows of its group.
+// Status returns the state of the group as seen by this member.
 func (n *Node[R]) Status() Status {
 	s := Status{
 		Role: n.core.Role().String(), Term: n.core.Term(), Lead: n.core.Lead(), Commit: n.core.Commit(), Last: n.core.Last(), Settled: n.failed == nil && n.core.Settled(),
-		Repair: n.core.Repair(), Syncs: n.disk.Syncs(), LogBytes: n.disk.Size(), Applied: n.work,
+		Repair: n.core.Repair(), Syncs: n.disk.Syncs(), LogBytes: n.disk.Size(), Applied: n.stats,
 	}
 	for _, v := range n.core.Membership().Voters {
 		s.Members = append(s.Members, v.Member)
--- a/internal/process/quorum/quorum.go
+++ b/internal/process/quorum/quorum.go
@@ -1,10 +1,9 @@
-// Package quorum runs one replicated group: it joins the decisions of package
-// replica to a disk, a transport to the group's other members and a state
-// machine. A process may run several groups, each with its own data folder and
-// transport.
+// Package quorum runs one replicated group: it connects the consensus algorithm in
+// package replica to a disk, a transport to the other members, and a state machine. A
+// process may run several groups, each with its own data directory and transport.
 //
-// Node is the synchronous half, without goroutines or clocks; Group drives a
-// Node under real time.
+// Node is the synchronous part, without goroutines or clocks. Group drives a Node in
+// real time.
 package quorum
 
 import (
@@ -16,118 +15,123 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// StateMachine is what the committed commands build, the same on each member.
-// Its methods are called from one goroutine and must not read a clock: what
-// they return depends on the commands alone. R is the answer to one command;
-// it crosses the wire as CBOR.
+// StateMachine is the replicated state that the committed commands build; it must be
+// the same on every member. Its methods are called from one goroutine and must not
+// read a clock: the results may depend only on the commands. R is the answer to one
+// command; it is sent over the network as CBOR.
 type StateMachine[R any] interface {
-	// Apply carries out one committed command. An error means that this member's
-	// state has come to differ from the others' or cannot follow them: it takes no
-	// part any more.
+	// Apply executes one committed command. An error means that the state of this
+	// member differs from that of the others, or cannot follow it. The member then
+	// stops taking part in the group.
 	Apply(index, term uint64, data []byte) (R, error)
 	// Applied is called after each batch of commands, before any of them is answered,
-	// and after Restore once what the log holds behind it is applied too.
+	// and after Restore once the log entries that follow the snapshot are applied.
 	Applied()
-	// Snapshot encodes the whole state.
+	// Snapshot encodes the complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state by what Snapshot encoded.
+	// Restore replaces the complete state with one that Snapshot encoded.
 	Restore(data []byte) error
 }
 
-// Checker is a state machine that checks a command before its leader puts it into the
-// log. What would stop every member that applies it is turned down there.
+// Checker is an optional interface of a StateMachine that validates a command before
+// the leader appends it to the log. It must reject commands that would stop every
+// member that applies them.
 type Checker interface {
-	// Check returns why a command is refused, or nil.
+	// Check returns why a command is rejected, or nil.
 	Check(data []byte) *result.Error
 }
 
-// Transport reaches the other members of one group.
+// Transport sends messages to the other members of one group.
 type Transport interface {
-	// Send delivers messages in the background; it may lose them.
+	// Send sends messages asynchronously; they may be lost.
 	Send(to string, messages []replica.Message)
-	// Propose passes a command to the member that leads, which answers with
-	// Group.Serve. An error means that it is unknown whether it arrived.
+	// Propose forwards a command to the leader, which handles it with Group.Serve.
+	// After an error it is unknown whether the leader received the command.
 	Propose(ctx context.Context, to string, data []byte) (Reply, error)
 }
 
-// Storage keeps what must survive a crash. An error of Save or Rewrite is
-// final: the member accepts nothing more.
+// Storage persists the state of a member. An error of Save or Rewrite is permanent:
+// the member accepts nothing more.
 type Storage interface {
-	// Save makes HardState, Snapshot and Entries of r durable.
+	// Save persists HardState, Membership, Snapshot and Entries of r.
 	Save(r replica.Ready) error
-	// Rewrite replaces all that was saved by r, at once or not at all.
+	// Rewrite atomically replaces everything saved with r.
 	Rewrite(r replica.Restored) error
-	// Syncs counts the syncs since the storage was opened.
+	// Syncs returns the number of disk syncs since the storage was opened.
 	Syncs() uint64
-	// Size is the number of bytes on disk.
+	// Size returns the number of bytes on disk.
 	Size() int64
-	// Close gives the files up.
+	// Close closes the files.
 	Close() error
 }
 
-// Reply is how a proposal ended, for the wire.
+// Reply is the result of a proposal as sent over the network.
 type Reply struct {
-	// Code is OK with a Result, or why there is none.
+	// Code is OK if Result is set, or the reason why it is not.
 	Code   result.Code
 	Detail string
-	// Result is the state machine's answer in CBOR.
+	// Result is the answer of the state machine in CBOR.
 	Result []byte
 }
 
-// Status is what a member tells of its group.
+// Status is the state of a group as seen by one member.
 type Status struct {
 	Role string `json:"role"`
 	Term uint64 `json:"term"`
 	Lead string `json:"lead"`
-	// Members are those whose majority accepts; empty before the founding.
+	// Members are the voters; empty before the group is bootstrapped.
 	Members []string `json:"members,omitempty"`
-	// Settled is set on a leader that has applied all that earlier ones
+	// Settled is set on a leader that has applied everything that earlier leaders
 	// committed.
 	Settled bool   `json:"settled"`
 	Commit  uint64 `json:"commit"`
 	// Last is the index of the newest entry, committed or not.
 	Last uint64 `json:"last"`
-	// Syncs counts the disk syncs since the start.
+	// Syncs is the number of disk syncs since the process started.
 	Syncs uint64 `json:"syncs"`
-	// Repair is how far a member whose disk is new is from having a vote.
+	// Repair is the progress of a member with a new disk toward getting a vote.
 	Repair replica.Repair `json:"repair"`
 	// LogBytes is the size of the log on disk.
 	LogBytes int64 `json:"log_bytes"`
-	// Applied is the work of applying the log since the start.
+	// Applied counts the work of applying the log since the process started.
 	Applied Applied `json:"applied"`
-	// Failure is why this member accepts nothing, or "".
+	// Failure is the reason why this member accepts nothing, or "".
 	Failure string `json:"failure,omitempty"`
-	// FailureCode is StorageFailed, StateDiverged or FormatUnknown, with Failure.
+	// FailureCode is StorageFailed, StateDiverged or FormatUnknown if Failure is set.
 	FailureCode result.Code `json:"failure_code,omitempty"`
 }
 
-// Applied is the work that the log gave a member since it started.
+// Applied counts the work of applying the log on one member since the process started.
 type Applied struct {
-	// Entries and Bytes count what was applied.
+	// Entries and Bytes count the applied entries and their data.
 	Entries uint64 `json:"entries"`
 	Bytes   uint64 `json:"bytes"`
-	// Time is what the rounds took in which something was applied, with their syncs.
+	// Time is the total duration of the processing rounds in which entries were
+	// applied, including disk syncs.
 	Time time.Duration `json:"time_ns"`
-	// Snapshots counts the snapshots written, SnapshotBytes is the size of the newest.
+	// Snapshots is the number of snapshots written. SnapshotBytes is the size of the
+	// latest one.
 	Snapshots     uint64 `json:"snapshots"`
 	SnapshotBytes int    `json:"snapshot_bytes"`
 }
 
-// differs reports whether what this member believes of its group is not what it was:
-// who leads, who votes, whether it has a vote itself, and whether its disk works.
+// differs reports whether the leader, the term, the voters, the repair state of this
+// member or its failure changed since before.
 func (s *Status) differs(before *Status) bool {
 	return s.Lead != before.Lead || s.Term != before.Term || s.Repair.State != before.Repair.State || s.Failure != before.Failure ||
 		!slices.Equal(s.Members, before.Members)
 }
 
-// errLeadLost answers proposals that another leader may have replaced.
-var errLeadLost = result.Errorf(result.CommitUnknown, "the leader changed before the commit was seen")
+// errLeadershipLost is returned for proposals that another leader may have
+// overwritten.
+var errLeadershipLost = result.Errorf(result.CommitUnknown, "the leader changed before the commit was seen")
 
 var errNoLeader = result.Errorf(result.NoQuorum, "no leader is known")
 
-// failureCode tells a state machine that cannot go on from a disk that failed.
+// failureCode returns the code of a state machine error, or StorageFailed for any
+// other error, which is one of the disk.
 func failureCode(err error) result.Code {
-	if code := codeOf(err); code != result.OK {
+	if code := errorCode(err); code != result.OK {
 		return code
 	}
 	return result.StorageFailed
