--- a/internal/process/claims/bench_test.go
+++ b/internal/process/claims/bench_test.go
@@ -19,7 +19,7 @@
 	"github.com/daisygate/daisygate/internal/request/once"
 )
 
-// sources are three members with real files, joined by function calls.
+// sources connects three members with real files by function calls.
 type sources struct {
 	groups map[string]*quorum.Group[once.Reply]
 }
@@ -40,7 +40,7 @@
 		g, err := quorum.Open(quorum.Config{
 			ID: id, Members: members, DataDir: b.TempDir(), TickInterval: 50 * time.Millisecond,
 			ElectionTicks: 10, HeartbeatTicks: 2, Seed: uint64(i + 1), Idempotent: true,
-		}, filled(held), s, logr.Discard())
+		}, filledTable(held), s, logr.Discard())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -59,8 +59,9 @@
 	}
 }
 
-// filled returns a table of so many answered claims with answers of 200 bytes.
-func filled(held int) *claims.Table {
+// filledTable returns a table with the given number of answered claims, with answers
+// of about 200 bytes.
+func filledTable(held int) *claims.Table {
 	t := claims.New(claims.DefaultLimits())
 	for i := range held {
 		c := command(claims.KindClaim, uint64(i)|1<<40)
@@ -82,8 +83,8 @@
 	}
 }
 
-// BenchmarkClaim measures a claim and its answer on three sources with real
-// files, by callers at a time and by claims held.
+// BenchmarkClaim measures a claim and its answer on three sources with real files, by
+// the number of concurrent callers and of existing claims.
 func BenchmarkClaim(b *testing.B) {
 	for _, v := range []struct{ callers, held int }{{1, 0}, {32, 0}, {256, 0}, {32, 100_000}} {
 		b.Run(fmt.Sprintf("callers=%d,held=%d", v.callers, v.held), func(b *testing.B) {
@@ -132,14 +133,14 @@
 	}
 }
 
-// BenchmarkSnapshot measures a snapshot of 100,000 claims with answers, and what
-// they take.
+// BenchmarkSnapshot measures a snapshot of 100,000 claims with answers, and their size
+// in memory, in the snapshot and in the log.
 func BenchmarkSnapshot(b *testing.B) {
 	const held = 100_000
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	t := filled(held)
+	t := filledTable(held)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	size := 0
--- a/internal/process/claims/command.go
+++ b/internal/process/claims/command.go
@@ -7,41 +7,41 @@
 	"github.com/daisygate/daisygate/internal/request/once"
 )
 
-// Kind tells what a command asks for.
+// Kind is the operation that a command requests.
 type Kind uint8
 
-// The kinds of command.
+// The command kinds.
 const (
-	// KindClaim asks for the right to run the request.
+	// KindClaim requests the right to run the request.
 	KindClaim Kind = iota + 1
-	// KindAnswer records how the run ended.
+	// KindAnswer records the result of the run.
 	KindAnswer
-	// KindRelease gives the claim back: the request certainly was not run.
+	// KindRelease releases the claim: the request was certainly not run.
 	KindRelease
 )
 
-// Command is one entry of the log. Each may be sent again with the same token:
-// the second has no further effect.
+// Command is one log entry. It may be resent with the same token; the duplicate has no
+// further effect.
 type Command struct {
 	Kind Kind    `cbor:"1,keyasint"`
 	ID   once.ID `cbor:"2,keyasint"`
-	// Fingerprint is set with KindClaim.
+	// Fingerprint identifies the content of the request; set for KindClaim.
 	Fingerprint uint64     `cbor:"3,keyasint,omitempty"`
 	Token       once.Token `cbor:"4,keyasint"`
-	// Answer is set with KindAnswer.
+	// Answer is set for KindAnswer.
 	Answer *once.Answer `cbor:"5,keyasint,omitempty"`
-	// Now is stamped by the source that proposes, in Unix milliseconds.
+	// Now is the time at the source that proposes the command, in Unix milliseconds.
 	Now int64 `cbor:"6,keyasint"`
 }
 
-// Encode returns the entry.
+// Encode returns the command as the data of a log entry.
 func (c *Command) Encode() ([]byte, error) {
 	raw, err := cbor.Marshal(c)
 	return raw, errors.Wrap(err, "encode claim command")
 }
 
-// Apply carries out one committed entry. An entry that cannot be read changes
-// nothing, on every source alike.
+// Apply executes the command in a committed log entry. An entry that cannot be decoded
+// changes nothing, on every source alike.
 func (t *Table) Apply(_, _ uint64, data []byte) (once.Reply, error) {
 	var c Command
 	if err := cbor.Unmarshal(data, &c); err != nil {
@@ -50,5 +50,6 @@
 	return t.Do(&c), nil
 }
 
-// Applied implements quorum.StateMachine; nothing of the table is handed out.
+// Applied implements quorum.StateMachine. It does nothing, because the table does not
+// publish its state.
 func (t *Table) Applied() {}
--- a/internal/process/claims/fuzz_test.go
+++ b/internal/process/claims/fuzz_test.go
@@ -6,10 +6,10 @@
 	"github.com/daisygate/daisygate/internal/request/once"
 )
 
-// FuzzRestore looks for an image of the table that a source does not survive. One that is
-// refused leaves what was there.
+// FuzzRestore guards against snapshots that crash a source. A snapshot that is
+// rejected must leave the table unchanged.
 func FuzzRestore(f *testing.F) {
-	built := func() *Table {
+	filledTable := func() *Table {
 		t := New(DefaultLimits())
 		id := once.ID{}
 		id[0] = 1
@@ -17,18 +17,18 @@
 		t.Do(&Command{Kind: KindAnswer, ID: id, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Answer: &once.Answer{Status: 200}, Now: 2})
 		return t
 	}
-	raw, err := built().Snapshot()
+	raw, err := filledTable().Snapshot()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		table := built()
-		held := len(table.claims)
+		table := filledTable()
+		before := len(table.claims)
 		if table.Restore(raw) != nil {
-			if len(table.claims) != held {
-				t.Fatal("a refused image changed the table")
+			if len(table.claims) != before {
+				t.Fatal("a rejected snapshot changed the table")
 			}
 			return
 		}
--- a/internal/process/claims/sources_test.go
+++ b/internal/process/claims/sources_test.go
@@ -19,42 +19,45 @@
 
 var members = []string{"s1", "s2", "s3"}
 
-// TestNoKeyRunsTwiceOnSources drives daemons against three sources with real
-// files, which are killed and restarted, lose messages, change their leader and
-// lose a disk, one until it is repaired, while answers of the sources are lost on the way to the daemons.
+// TestNoKeyRunsTwiceOnSources guards against a request that is run twice under one
+// key. Daemons use three sources with real files, which are killed and restarted, lose
+// messages, change their leader, and lose a disk, one at a time until it is repaired,
+// while replies to the daemons are lost.
 func TestNoKeyRunsTwiceOnSources(t *testing.T) {
 	base := t.TempDir()
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
-		w := &world{dir: filepath.Join(base, fmt.Sprint(number)), nodes: map[string]*quorum.Node[once.Reply]{}, disks: map[string]*storage.Log{}, tables: map[string]*claims.Table{}, ran: map[int]*attempt{}}
+		s := &simulation{dir: filepath.Join(base, fmt.Sprint(number)), nodes: map[string]*quorum.Node[once.Reply]{}, disks: map[string]*storage.Log{}, tables: map[string]*claims.Table{}, ran: map[int]*attempt{}}
 		for _, id := range members {
-			w.start(t, id)
+			s.start(t, id)
 		}
-		defer w.stopAll()
-		w.settle(t, 40)
+		defer s.stopAll()
+		s.advance(t, 40)
 		t.Repeat(map[string]func(*rapid.T){
-			"claim":  w.claim,
-			"again":  w.again,
-			"end":    w.end,
-			"rounds": func(t *rapid.T) { w.settle(t, rapid.IntRange(1, 12).Draw(t, "rounds")) },
-			"loss":   w.loss,
-			"kill":   w.kill,
-			"wipe":   w.wipe,
-			"return": w.restart,
-			"peek":   w.peek,
+			"claim":  s.claim,
+			"again":  s.resend,
+			"end":    s.finishRun,
+			"rounds": func(t *rapid.T) { s.advance(t, rapid.IntRange(1, 12).Draw(t, "rounds")) },
+			"loss":   s.dropPacket,
+			"kill":   s.kill,
+			"wipe":   s.wipe,
+			"return": s.restart,
+			"peek":   s.peek,
 		})
-		w.recovers(t)
+		s.checkRecovery(t)
 	})
 }
 
-// attempt is one daemon's try to run a key.
+// attempt is one attempt of a daemon to run a key.
 type attempt struct {
 	key   int
 	token once.Token
-	// given up attempts do not run, whatever is answered later.
-	givenUp, running, over bool
-	// ended is set once the daemon knows how the run ended, by code.
+	// givenUp attempts are not run, whatever reply arrives later. running is set once
+	// the key was run, recorded once the sources have confirmed the end of the
+	// attempt.
+	givenUp, running, recorded bool
+	// ended is set once the daemon knows the result of the run, in code.
 	ended bool
 	code  result.Code
 }
@@ -64,25 +67,26 @@
 	messages []replica.Message
 }
 
-type world struct {
-	dir    string
-	nodes  map[string]*quorum.Node[once.Reply]
-	disks  map[string]*storage.Log
-	tables map[string]*claims.Table
-	wire   []packet
-	// starts seeds each start apart: equal seeds would tie elections for ever.
+type simulation struct {
+	dir     string
+	nodes   map[string]*quorum.Node[once.Reply]
+	disks   map[string]*storage.Log
+	tables  map[string]*claims.Table
+	network []packet
+	// starts counts the starts of nodes and seeds each of them; with equal seeds
+	// elections could be tied forever.
 	starts   uint64
 	seq      uint64
 	attempts []*attempt
 	// ran is the attempt that ran each key.
 	ran map[int]*attempt
-	// twice is set when a key ran a second time.
-	twice string
+	// violation is set if a key was run a second time.
+	violation string
 }
 
-func (w *world) start(t *rapid.T, id string) {
-	w.starts++
-	dir, err := storage.NewOSDir(filepath.Join(w.dir, id))
+func (s *simulation) start(t *rapid.T, id string) {
+	s.starts++
+	dir, err := storage.NewOSDir(filepath.Join(s.dir, id))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,49 +94,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	send := func(to string, messages []replica.Message) { w.wire = append(w.wire, packet{to, messages}) }
+	send := func(to string, messages []replica.Message) { s.network = append(s.network, packet{to, messages}) }
 	table := claims.New(claims.DefaultLimits())
 	node, err := quorum.NewNode(replica.Config{
-		ID: id, Members: members, ElectionTicks: 10, HeartbeatTicks: 2, Seed: w.starts,
+		ID: id, Members: members, ElectionTicks: 10, HeartbeatTicks: 2, Seed: s.starts,
 	}, restored, disk, table, send, logr.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.nodes[id], w.disks[id], w.tables[id] = node, disk, table
+	s.nodes[id], s.disks[id], s.tables[id] = node, disk, table
 }
 
-func (w *world) stopAll() {
-	for _, d := range w.disks {
+func (s *simulation) stopAll() {
+	for _, d := range s.disks {
 		_ = d.Close()
 	}
 }
 
-// settle lets time pass and delivers what is on the wire.
-func (w *world) settle(t *rapid.T, rounds int) {
+// advance ticks all nodes and delivers the messages in transit.
+func (s *simulation) advance(t *rapid.T, rounds int) {
 	for range rounds {
 		for _, id := range members {
-			if n := w.nodes[id]; n != nil {
+			if n := s.nodes[id]; n != nil {
 				n.Tick()
 				n.Settle()
 			}
 		}
-		wire := w.wire
-		w.wire = nil
-		for _, p := range wire {
-			if n := w.nodes[p.to]; n != nil {
+		network := s.network
+		s.network = nil
+		for _, p := range network {
+			if n := s.nodes[p.to]; n != nil {
 				n.Step(p.messages)
 				n.Settle()
 			}
 		}
 	}
-	if w.twice != "" {
-		t.Fatal(w.twice)
+	if s.violation != "" {
+		t.Fatal(s.violation)
 	}
 }
 
-func (w *world) propose(t *rapid.T, c claims.Command, answer func(once.Reply, error)) {
+func (s *simulation) propose(t *rapid.T, c claims.Command, answer func(once.Reply, error)) {
 	id := rapid.SampledFrom(members).Draw(t, "source")
-	if n := w.nodes[id]; n != nil {
+	if n := s.nodes[id]; n != nil {
 		raw, err := c.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -142,51 +146,51 @@
 	}
 }
 
-func (w *world) claim(t *rapid.T) {
-	w.seq++
-	a := &attempt{key: rapid.IntRange(0, 3).Draw(t, "key"), token: once.Token{Node: "d", Seq: w.seq}}
-	w.attempts = append(w.attempts, a)
-	w.send(t, a)
+func (s *simulation) claim(t *rapid.T) {
+	s.seq++
+	a := &attempt{key: rapid.IntRange(0, 3).Draw(t, "key"), token: once.Token{Node: "d", Seq: s.seq}}
+	s.attempts = append(s.attempts, a)
+	s.send(t, a)
 }
 
-func (w *world) send(t *rapid.T, a *attempt) {
-	w.propose(t, claims.Command{Kind: claims.KindClaim, ID: id(a.key), Token: a.token}, func(r once.Reply, err error) {
+func (s *simulation) send(t *rapid.T, a *attempt) {
+	s.propose(t, claims.Command{Kind: claims.KindClaim, ID: id(a.key), Token: a.token}, func(r once.Reply, err error) {
 		if err == nil && r.Verdict == once.Granted && !a.givenUp && !a.running {
-			w.run(a)
+			s.run(a)
 		}
 	})
 }
 
-func (w *world) run(a *attempt) {
+func (s *simulation) run(a *attempt) {
 	a.running = true
-	if first := w.ran[a.key]; first != nil {
-		w.twice = fmt.Sprintf("key %d ran under %d and under %d", a.key, first.token.Seq, a.token.Seq)
+	if first := s.ran[a.key]; first != nil {
+		s.violation = fmt.Sprintf("key %d ran under %d and under %d", a.key, first.token.Seq, a.token.Seq)
 	}
-	w.ran[a.key] = a
+	s.ran[a.key] = a
 }
 
-// again sends an unanswered claim once more, or gives it up and releases it.
-func (w *world) again(t *rapid.T) {
-	for _, a := range w.attempts {
-		if a.running || a.over {
+// resend resends an unanswered claim, or gives it up and releases it.
+func (s *simulation) resend(t *rapid.T) {
+	for _, a := range s.attempts {
+		if a.running || a.recorded {
 			continue
 		}
 		if rapid.Bool().Draw(t, "give up") {
 			a.givenUp = true
 		}
 		if !a.givenUp {
-			w.send(t, a)
+			s.send(t, a)
 			return
 		}
-		w.finish(t, a, claims.Command{Kind: claims.KindRelease})
+		s.record(t, a, claims.Command{Kind: claims.KindRelease})
 		return
 	}
 }
 
-// end records how a run ended; it is repeated until the sources answer.
-func (w *world) end(t *rapid.T) {
-	for _, a := range w.attempts {
-		if !a.running || a.over {
+// finishRun records the result of a run. It is repeated until the sources reply.
+func (s *simulation) finishRun(t *rapid.T) {
+	for _, a := range s.attempts {
+		if !a.running || a.recorded {
 			continue
 		}
 		if !a.ended {
@@ -199,82 +203,81 @@
 			c.Kind = claims.KindRelease
 			a.givenUp = true
 		}
-		if a.givenUp && w.ran[a.key] == a {
-			delete(w.ran, a.key)
+		if a.givenUp && s.ran[a.key] == a {
+			delete(s.ran, a.key)
 		}
-		w.finish(t, a, c)
+		s.record(t, a, c)
 		return
 	}
 }
 
-func (w *world) finish(t *rapid.T, a *attempt, c claims.Command) {
+func (s *simulation) record(t *rapid.T, a *attempt, c claims.Command) {
 	if a.givenUp {
 		c.Kind, c.Answer = claims.KindRelease, nil
 	}
 	c.ID, c.Token = id(a.key), a.token
-	w.propose(t, c, func(_ once.Reply, err error) { a.over = a.over || err == nil })
+	s.propose(t, c, func(_ once.Reply, err error) { a.recorded = a.recorded || err == nil })
 }
 
-// peek looks at one source alone: an answer that it knows is that of a run.
-func (w *world) peek(t *rapid.T) {
+// peek reads from one source alone: an answer that it knows must be that of a run.
+func (s *simulation) peek(t *rapid.T) {
 	source := rapid.SampledFrom(members).Draw(t, "source")
 	for key := range 4 {
-		if w.tables[source].Peek(id(key), 0).Verdict == once.Answered && w.ran[key] == nil {
-			t.Fatalf("%s knows an answer of key %d, which did not run", source, key)
+		if s.tables[source].Peek(id(key), 0).Verdict == once.Answered && s.ran[key] == nil {
+			t.Fatalf("%s has an answer for key %d, which was not run", source, key)
 		}
 	}
 }
 
-func (w *world) loss(t *rapid.T) {
-	if len(w.wire) > 0 {
-		i := rapid.IntRange(0, len(w.wire)-1).Draw(t, "lost packet")
-		w.wire = append(w.wire[:i], w.wire[i+1:]...)
+func (s *simulation) dropPacket(t *rapid.T) {
+	if len(s.network) > 0 {
+		i := rapid.IntRange(0, len(s.network)-1).Draw(t, "lost packet")
+		s.network = append(s.network[:i], s.network[i+1:]...)
 	}
 }
 
-func (w *world) kill(t *rapid.T) {
+func (s *simulation) kill(t *rapid.T) {
 	id := rapid.SampledFrom(members).Draw(t, "killed")
-	if w.nodes[id] == nil {
+	if s.nodes[id] == nil {
 		return
 	}
-	_ = w.disks[id].Close()
-	delete(w.nodes, id)
-	delete(w.disks, id)
+	_ = s.disks[id].Close()
+	delete(s.nodes, id)
+	delete(s.disks, id)
 }
 
-// wipe loses the disk of a source that was killed, unless another lost disk is
-// not repaired yet.
-func (w *world) wipe(t *rapid.T) {
+// wipe deletes the disk of a running source and restarts it, if all sources are up and
+// every earlier lost disk is repaired.
+func (s *simulation) wipe(t *rapid.T) {
 	for _, id := range members {
-		n := w.nodes[id]
+		n := s.nodes[id]
 		if n == nil || (n.Status().Repair.State != replica.RepairNone && n.Status().Repair.State != replica.RepairDone) {
 			return
 		}
 	}
 	id := rapid.SampledFrom(members).Draw(t, "wiped")
-	_ = w.disks[id].Close()
-	if err := os.RemoveAll(filepath.Join(w.dir, id)); err != nil {
+	_ = s.disks[id].Close()
+	if err := os.RemoveAll(filepath.Join(s.dir, id)); err != nil {
 		t.Fatal(err)
 	}
-	w.start(t, id)
+	s.start(t, id)
 }
 
-func (w *world) restart(t *rapid.T) {
+func (s *simulation) restart(t *rapid.T) {
 	for _, id := range members {
-		if w.nodes[id] == nil {
-			w.start(t, id)
+		if s.nodes[id] == nil {
+			s.start(t, id)
 			return
 		}
 	}
 }
 
-// recovers checks that with every source back a fresh key is granted, and that
-// a key that ran is not.
-func (w *world) recovers(t *rapid.T) {
+// checkRecovery checks that a new key is granted once all sources are up again.
+func (s *simulation) checkRecovery(t *rapid.T) {
 	for range members {
-		w.restart(t)
+		s.restart(t)
 	}
-	w.settle(t, 60)
+	s.advance(t, 60)
 	granted := 0
 	for _, id := range members {
 		c := claims.Command{Kind: claims.KindClaim, ID: once.NewID("m", "fresh"), Token: once.Token{Node: "d", Seq: 1 << 40}}
@@ -282,14 +285,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.nodes[id].Propose(raw, func(r once.Reply, err error) {
+		s.nodes[id].Propose(raw, func(r once.Reply, err error) {
 			if err == nil && r.Verdict == once.Granted {
 				granted++
 			}
 		})
 	}
-	w.settle(t, 10)
+	s.advance(t, 10)
 	if granted == 0 {
-		t.Fatal("no source grants a fresh key")
+		t.Fatal("no source grants a new key")
 	}
 }
--- a/internal/process/claims/table.go
+++ b/internal/process/claims/table.go
@@ -1,10 +1,10 @@
-// Package claims is the replicated table of idempotency keys: the state machine
-// that a group of sources runs, and the commands that daemons send it.
+// Package claims implements the replicated table of idempotency keys: the state
+// machine that a group of sources runs, and the commands that daemons send to it.
 //
-// The table is deterministic: time comes in with each command, stamped by the
-// source that proposed it, and the table's own time only goes up. Expiry and
-// every bound follow from the commands alone, so that all sources hold the same
-// table and a restart builds it again.
+// The table is deterministic. Each command carries the time at the source that
+// proposed it, and the time of the table never goes back. Expiry and all limits depend
+// only on the commands, so that all sources have the same table and a restart rebuilds
+// it.
 package claims
 
 import (
@@ -14,35 +14,36 @@
 	"github.com/daisygate/daisygate/internal/request/once"
 )
 
-// Limits bound a table; they must be the same on every source of a group.
+// Limits are the limits of a table. They must be the same on every source of a group.
 type Limits struct {
-	// Claims is the most claims held.
+	// Claims is the maximum number of claims.
 	Claims int
-	// AnswerBytes is the most bytes of answers kept; the oldest make room.
+	// AnswerBytes is the maximum total size of the stored answers. The oldest are
+	// discarded first.
 	AnswerBytes int
-	// Keep is how long a key is remembered after it was claimed. After it the
-	// key may be used anew.
-	Keep time.Duration
-	// KeepLeast is how long a key is remembered at any rate: in a full table the
-	// oldest answered claims that are older make room for new ones.
-	KeepLeast time.Duration
-	// KeepAnswer is how long an answer is kept after it was recorded; then its
-	// request is still known to have run.
-	KeepAnswer time.Duration
-	// KeepReleased is how long a released token is remembered, so that its
-	// claim is refused if it arrives after its release.
-	KeepReleased time.Duration
+	// Retention is how long a key is kept after it was claimed. Then it may be used
+	// again.
+	Retention time.Duration
+	// MinRetention is how long a key is kept at least. In a full table, the oldest
+	// answered claims above that age are evicted for new ones.
+	MinRetention time.Duration
+	// AnswerRetention is how long an answer is stored after it was recorded. After
+	// that the table still knows that the request was run.
+	AnswerRetention time.Duration
+	// ReleasedRetention is how long a released token is kept, so that its claim is
+	// refused if it arrives after its release.
+	ReleasedRetention time.Duration
 }
 
-// DefaultLimits returns the documented limits of one group.
+// DefaultLimits returns the documented limits of a group.
 func DefaultLimits() Limits {
 	return Limits{
-		Claims: 200_000, AnswerBytes: 16 << 20, Keep: 24 * time.Hour, KeepLeast: time.Hour,
-		KeepAnswer: time.Hour, KeepReleased: time.Minute,
+		Claims: 200_000, AnswerBytes: 16 << 20, Retention: 24 * time.Hour, MinRetention: time.Hour,
+		AnswerRetention: time.Hour, ReleasedRetention: time.Minute,
 	}
 }
 
-// state is the phase of a claim.
+// state is the state of a claim.
 type state uint8
 
 const (
@@ -51,37 +52,38 @@
 	released
 )
 
-// claim is one key. Invariant: it is in the list of held and answered claims or
-// in that of released ones, by its state, and in the list of answers exactly if
-// its answer holds bytes.
+// claim is the entry of one key. Invariant: it is in the list of active claims if it
+// is held or answered, in the list of tombstones if it is released, and in the list of
+// answers if and only if its answer has a size above 0.
 type claim struct {
 	id          once.ID
 	fingerprint uint64
 	token       once.Token
 	state       state
-	// since is when it entered its list, in Unix milliseconds.
+	// since is when the claim was added to its list, in Unix milliseconds.
 	since int64
-	// answer is set when answered.
+	// answer is set if the state is answered.
 	answer *once.Answer
 	// answeredAt is when the answer was recorded, in Unix milliseconds.
 	answeredAt int64
 
-	place       *list.Element
-	answerPlace *list.Element
+	element       *list.Element
+	answerElement *list.Element
 }
 
 // Table is the state machine. It is not safe for concurrent use.
 type Table struct {
 	limits Limits
-	// now is the largest time of any command, in Unix milliseconds.
+	// now is the latest time of any command, in Unix milliseconds.
 	now    int64
 	claims map[once.ID]*claim
-	// kept, tombs and answers hold *claim, oldest first.
-	kept, tombs, answers *list.List
-	// answerBytes is the sum of the sizes in answers; at most AnswerBytes.
+	// active, tombstones and answers contain *claim, oldest first.
+	active, tombstones, answers *list.List
+	// answerBytes is the total size of the answers in the list answers; at most
+	// limits.AnswerBytes.
 	answerBytes int
-	// names holds one copy of each owner's name.
-	names map[string]string
+	// ownerNames stores one copy of each owner name.
+	ownerNames map[string]string
 }
 
 // New returns an empty table.
@@ -93,17 +95,17 @@
 
 func (t *Table) reset() {
 	t.now, t.answerBytes = 0, 0
-	t.claims, t.names = map[once.ID]*claim{}, map[string]string{}
-	t.kept, t.tombs, t.answers = list.New(), list.New(), list.New()
+	t.claims, t.ownerNames = map[once.ID]*claim{}, map[string]string{}
+	t.active, t.tombstones, t.answers = list.New(), list.New(), list.New()
 }
 
-// Len is the number of claims held, with released tokens.
+// Len returns the number of claims, including released ones.
 func (t *Table) Len() int { return len(t.claims) }
 
-// AnswerBytes is what the kept answers take.
+// AnswerBytes returns the total size of the stored answers.
 func (t *Table) AnswerBytes() int { return t.answerBytes }
 
-// Do carries out one command.
+// Do executes one command.
 func (t *Table) Do(c *Command) once.Reply {
 	t.now = max(t.now, c.Now)
 	t.expire()
@@ -131,11 +133,11 @@
 	case e.state == held && e.token == c.Token:
 		return once.Reply{Verdict: once.Granted}
 	}
-	return e.seen(c.Fingerprint)
+	return e.duplicateReply(c.Fingerprint)
 }
 
-// seen is what a claim tells a later one of the same key.
-func (e *claim) seen(fingerprint uint64) once.Reply {
+// duplicateReply returns the reply to a later claim of the same key.
+func (e *claim) duplicateReply(fingerprint uint64) once.Reply {
 	switch {
 	case e.fingerprint != fingerprint:
 		return once.Reply{Verdict: once.Mismatch}
@@ -145,60 +147,61 @@
 	return once.Reply{Verdict: once.Held, Owner: e.token}
 }
 
-// Peek tells what is known of a key without claiming it, NotHeld for nothing.
-// It may be asked of one source alone, which may be behind: what it knows was
-// committed, and what it does not know may have been.
+// Peek returns what is known about a key without claiming it, or NotHeld if nothing
+// is. It may be called on a single source, which may lag behind: what it knows was
+// committed, and what it does not know may have been committed as well.
 func (t *Table) Peek(id once.ID, fingerprint uint64) once.Reply {
 	e := t.claims[id]
 	if e == nil || e.state == released {
 		return once.Reply{Verdict: once.NotHeld}
 	}
-	return e.seen(fingerprint)
+	return e.duplicateReply(fingerprint)
 }
 
 func (t *Table) grant(c *Command) once.Reply {
-	if len(t.claims) >= t.limits.Claims && !t.makeRoom() {
-		return once.Reply{Verdict: once.Full, Wait: t.roomIn()}
+	if len(t.claims) >= t.limits.Claims && !t.evictOldest() {
+		return once.Reply{Verdict: once.Full, Wait: t.evictionWait()}
 	}
 	e := &claim{id: c.ID, fingerprint: c.Fingerprint, token: t.intern(c.Token), state: held, since: t.now}
-	e.place = t.kept.PushBack(e)
+	e.element = t.active.PushBack(e)
 	t.claims[c.ID] = e
 	return once.Reply{Verdict: once.Granted}
 }
 
-// roomScan bounds how far makeRoom looks behind claims that are still held.
-const roomScan = 64
+// maxEvictionScan limits the number of claims that evictOldest examines.
+const maxEvictionScan = 64
 
-// makeRoom drops the oldest answered claim that is older than KeepLeast.
-func (t *Table) makeRoom() bool {
-	place := t.kept.Front()
-	for range roomScan {
-		if place == nil || t.left(place.Value.(*claim), t.limits.KeepLeast) > 0 {
+// evictOldest removes the oldest answered claim that is older than MinRetention. It
+// reports whether there was one.
+func (t *Table) evictOldest() bool {
+	element := t.active.Front()
+	for range maxEvictionScan {
+		if element == nil || t.remaining(element.Value.(*claim), t.limits.MinRetention) > 0 {
 			return false
 		}
-		if e := place.Value.(*claim); e.state == answered {
+		if e := element.Value.(*claim); e.state == answered {
 			t.remove(e)
 			return true
 		}
-		place = place.Next()
+		element = element.Next()
 	}
 	return false
 }
 
-// roomIn is when the next entry expires or may make room.
-func (t *Table) roomIn() time.Duration {
-	wait := t.limits.KeepLeast
-	if oldest := t.kept.Front(); oldest != nil {
-		wait = t.left(oldest.Value.(*claim), t.limits.KeepLeast)
+// evictionWait returns the time until the next claim expires or may be evicted.
+func (t *Table) evictionWait() time.Duration {
+	wait := t.limits.MinRetention
+	if oldest := t.active.Front(); oldest != nil {
+		wait = t.remaining(oldest.Value.(*claim), t.limits.MinRetention)
 	}
-	if oldest := t.tombs.Front(); oldest != nil {
-		wait = min(wait, t.left(oldest.Value.(*claim), t.limits.KeepReleased))
+	if oldest := t.tombstones.Front(); oldest != nil {
+		wait = min(wait, t.remaining(oldest.Value.(*claim), t.limits.ReleasedRetention))
 	}
 	return wait
 }
 
-func (t *Table) left(e *claim, keep time.Duration) time.Duration {
-	return keep - time.Duration(t.now-e.since)*time.Millisecond
+func (t *Table) remaining(e *claim, retention time.Duration) time.Duration {
+	return retention - time.Duration(t.now-e.since)*time.Millisecond
 }
 
 func (t *Table) answer(c *Command) once.Reply {
@@ -212,77 +215,78 @@
 	e.state, e.answer, e.answeredAt = answered, c.Answer, t.now
 	if size := c.Answer.Size(); size > 0 {
 		t.answerBytes += size
-		e.answerPlace = t.answers.PushBack(e)
+		e.answerElement = t.answers.PushBack(e)
 	}
 	for t.answerBytes > t.limits.AnswerBytes {
-		t.dropAnswer(t.answers.Front().Value.(*claim))
+		t.discardAnswer(t.answers.Front().Value.(*claim))
 	}
 	return once.Reply{Verdict: once.Done}
 }
 
-// dropAnswer keeps of an answer only that its request ran.
-func (t *Table) dropAnswer(e *claim) {
-	t.forgetAnswer(e)
+// discardAnswer removes the content of an answer and only keeps the fact that the
+// request was run.
+func (t *Table) discardAnswer(e *claim) {
+	t.removeAnswer(e)
 	e.answer = &once.Answer{Code: e.answer.Code, Dropped: true}
 }
 
-func (t *Table) forgetAnswer(e *claim) {
-	if e.answerPlace == nil {
+func (t *Table) removeAnswer(e *claim) {
+	if e.answerElement == nil {
 		return
 	}
-	t.answers.Remove(e.answerPlace)
-	e.answerPlace = nil
+	t.answers.Remove(e.answerElement)
+	e.answerElement = nil
 	t.answerBytes -= e.answer.Size()
 }
 
-// release frees a claim that its token holds; for a claim that has not arrived
-// it leaves a mark by which that claim is refused.
+// release releases a claim that the token holds. For a claim that has not arrived it
+// adds a tombstone, so that the claim is refused later.
 func (t *Table) release(c *Command) once.Reply {
 	e := t.claims[c.ID]
 	if e != nil && e.state == held && e.token == c.Token {
 		t.remove(e)
-		t.bury(c)
+		t.addTombstone(c)
 		return once.Reply{Verdict: once.Done}
 	}
 	if e == nil && len(t.claims) < t.limits.Claims {
-		t.bury(c)
+		t.addTombstone(c)
 		return once.Reply{Verdict: once.Done}
 	}
 	return once.Reply{Verdict: once.NotHeld}
 }
 
-func (t *Table) bury(c *Command) {
+func (t *Table) addTombstone(c *Command) {
 	e := &claim{id: c.ID, token: t.intern(c.Token), state: released, since: t.now}
-	e.place = t.tombs.PushBack(e)
+	e.element = t.tombstones.PushBack(e)
 	t.claims[c.ID] = e
 }
 
 func (t *Table) remove(e *claim) {
 	delete(t.claims, e.id)
 	if e.state == released {
-		t.tombs.Remove(e.place)
+		t.tombstones.Remove(e.element)
 		return
 	}
-	t.forgetAnswer(e)
-	t.kept.Remove(e.place)
+	t.removeAnswer(e)
+	t.active.Remove(e.element)
 }
 
 func (t *Table) expire() {
-	t.expireList(t.kept, t.limits.Keep)
-	t.expireList(t.tombs, t.limits.KeepReleased)
+	t.expireList(t.active, t.limits.Retention)
+	t.expireList(t.tombstones, t.limits.ReleasedRetention)
 	for front := t.answers.Front(); front != nil; front = t.answers.Front() {
 		e := front.Value.(*claim)
-		if t.now-e.answeredAt < t.limits.KeepAnswer.Milliseconds() {
+		if t.now-e.answeredAt < t.limits.AnswerRetention.Milliseconds() {
 			return
 		}
-		t.dropAnswer(e)
+		t.discardAnswer(e)
 	}
 }
 
-func (t *Table) expireList(l *list.List, keep time.Duration) {
+func (t *Table) expireList(l *list.List, retention time.Duration) {
 	for front := l.Front(); front != nil; front = l.Front() {
 		e := front.Value.(*claim)
-		if t.now-e.since < keep.Milliseconds() {
+		if t.now-e.since < retention.Milliseconds() {
 			return
 		}
 		t.remove(e)
@@ -290,10 +294,10 @@
 }
 
 func (t *Table) intern(token once.Token) once.Token {
-	name, known := t.names[token.Node]
+	name, known := t.ownerNames[token.Node]
 	if !known {
 		name = token.Node
-		t.names[name] = name
+		t.ownerNames[name] = name
 	}
 	token.Node = name
 	return token
--- a/internal/process/claims/table_test.go
+++ b/internal/process/claims/table_test.go
@@ -17,10 +17,10 @@
 )
 
 var limits = claims.Limits{
-	Claims: 4, AnswerBytes: 20, Keep: 100 * time.Second, KeepLeast: 60 * time.Second, KeepAnswer: 30 * time.Second, KeepReleased: 5 * time.Second,
+	Claims: 4, AnswerBytes: 20, Retention: 100 * time.Second, MinRetention: 60 * time.Second, AnswerRetention: 30 * time.Second, ReleasedRetention: 5 * time.Second,
 }
 
-// TestSessions runs whole sessions against one table. A line is
+// TestSessions runs sequences of commands against one table. A line is
 //
 //	<second> claim|answer|release <key> <daemon>/<seq> [request or body]
 func TestSessions(t *testing.T) {
@@ -72,38 +72,38 @@
 	case step.Replay != nil:
 		return fmt.Sprintf("first answer %q", step.Replay.Body)
 	case step.Refusal != nil:
-		return fmt.Sprintf("%s, %s, come back in %s", step.Refusal.Code, step.Refusal.Code.Outcome(), step.RetryAfter)
+		return fmt.Sprintf("%s, %s, retry after %s", step.Refusal.Code, step.Refusal.Code.Outcome(), step.RetryAfter)
 	}
 	return "runs"
 }
 
 func init() {
-	// The same sequences each time; -rapid.seed asks for others.
+	// Use the same sequences each time; -rapid.seed selects others.
 	_ = flag.Set("rapid.seed", "1")
 }
 
-// run is what the oracle knows of one attempt.
+// run is what the oracle knows about one attempt.
 type run struct {
 	key         int
 	fingerprint uint64
 	token       once.Token
 	granted     bool
-	settled     bool
+	finished    bool
 	// since is when the claim was granted.
 	since time.Time
 }
 
-// TestNoKeyRunsTwice drives daemons that race, resend, die and lose answers
-// against a table that is restored at any moment, beside an oracle that counts
-// the runs of each key within the time that it is kept.
+// TestNoKeyRunsTwice guards against a request that is run twice under one key within
+// its retention. Daemons race, resend, crash and lose replies, the table is restored
+// at any time, and an oracle records the runs of each key.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{table: claims.New(wide), ran: map[int]*run{}, answers: map[int]string{}, now: time.UnixMilli(1 << 40)}
+		o := &oracle{table: claims.New(oracleLimits), lastRun: map[int]*run{}, answers: map[int]string{}, now: time.UnixMilli(1 << 40)}
 		t.Repeat(map[string]func(*rapid.T){
 			"claim":   o.claim,
-			"late":    o.claimAgain,
-			"end":     o.end,
-			"die":     o.die,
+			"late":    o.resendClaim,
+			"end":     o.finishRun,
+			"die":     o.crash,
 			"advance": o.advance,
 			"restore": o.restore,
 			"":        o.check,
@@ -111,19 +111,19 @@
 	})
 }
 
-var wide = claims.Limits{Claims: 6, AnswerBytes: 1 << 10, Keep: 50 * time.Second, KeepLeast: 25 * time.Second, KeepAnswer: 50 * time.Second, KeepReleased: 50 * time.Second}
+var oracleLimits = claims.Limits{Claims: 6, AnswerBytes: 1 << 10, Retention: 50 * time.Second, MinRetention: 25 * time.Second, AnswerRetention: 50 * time.Second, ReleasedRetention: 50 * time.Second}
 
 type oracle struct {
 	table *claims.Table
 	now   time.Time
-	// latest is the largest time so far: the table's own.
+	// latest is the latest time of any command: the time of the table.
 	latest time.Time
-	// full is when the table was last full.
-	full time.Time
-	seq  uint64
-	runs []*run
-	// ran is the newest run of each key.
-	ran     map[int]*run
+	// lastFull is when the table was last full.
+	lastFull time.Time
+	seq      uint64
+	runs     []*run
+	// lastRun is the latest run of each key.
+	lastRun map[int]*run
 	answers map[int]string
 }
 
@@ -153,8 +153,8 @@
 	o.send(t, r)
 }
 
-// claimAgain repeats a claim, as after a lost answer of the sources.
-func (o *oracle) claimAgain(t *rapid.T) {
+// resendClaim resends a claim, as after a lost reply.
+func (o *oracle) resendClaim(t *rapid.T) {
 	if len(o.runs) > 0 {
 		o.send(t, rapid.SampledFrom(o.runs).Draw(t, "run"))
 	}
@@ -167,42 +167,42 @@
 		t.Fatalf("key %d: answer %q, first was %q", r.key, reply.Answer.Body, o.answers[r.key])
 	}
 	switch {
-	case r.settled && reply.Verdict == once.Granted:
-		// A claim that arrives long after its release: nobody waits for it.
-	case lost && !r.granted && !r.settled:
-		r.settled = true
+	case r.finished && reply.Verdict == once.Granted:
+		// The claim arrived long after its release. Nobody waits for it.
+	case lost && !r.granted && !r.finished:
+		r.finished = true
 		o.do(claims.Command{Kind: claims.KindRelease, ID: id(r.key), Token: r.token})
 	case reply.Verdict == once.Granted && !r.granted:
 		o.run(t, r)
 	case reply.Verdict != once.Granted && !r.granted:
-		r.settled = true
+		r.finished = true
 	}
 }
 
 func (o *oracle) run(t *rapid.T, r *run) {
-	if first := o.ran[r.key]; first != nil && o.latest.Sub(first.since) < o.promised(first) {
+	if first := o.lastRun[r.key]; first != nil && o.latest.Sub(first.since) < o.retention(first) {
 		t.Fatalf("key %d runs twice: at %s and %s", r.key, first.since, o.latest)
 	}
-	o.ran[r.key], r.since = r, o.latest
+	o.lastRun[r.key], r.since = r, o.latest
 	delete(o.answers, r.key)
 	r.granted = true
 }
 
-// promised is how long the key of a run is kept.
-func (o *oracle) promised(r *run) time.Duration {
-	if o.full.Before(r.since) {
-		return wide.Keep
+// retention returns the guaranteed retention of the key of a run.
+func (o *oracle) retention(r *run) time.Duration {
+	if o.lastFull.Before(r.since) {
+		return oracleLimits.Retention
 	}
-	return wide.KeepLeast
+	return oracleLimits.MinRetention
 }
 
-// end settles a granted run: answered, certainly not run, or lost.
-func (o *oracle) end(t *rapid.T) {
-	r := o.open(t)
+// finishRun ends a granted run as answered, certainly not run, or lost.
+func (o *oracle) finishRun(t *rapid.T) {
+	r := o.pickOpenRun(t)
 	if r == nil {
 		return
 	}
-	r.settled = true
+	r.finished = true
 	code := rapid.SampledFrom([]result.Code{result.OK, result.OK, result.BackendRefused, result.AnswerLost, result.CallerLeft}).Draw(t, "end")
 	body := fmt.Sprintf("answer %d", r.token.Seq)
 	answer := once.Close(code, &once.Answer{Status: 200, Body: []byte(body)})
@@ -211,29 +211,29 @@
 		c.Kind, c.Answer = claims.KindAnswer, answer
 	}
 	verdict := o.do(c).Verdict
-	current := o.ran[r.key] == r && o.latest.Sub(r.since) < wide.Keep
+	current := o.lastRun[r.key] == r && o.latest.Sub(r.since) < oracleLimits.Retention
 	if verdict != once.Done && current {
-		t.Fatalf("key %d: the owner's settlement got %d", r.key, verdict)
+		t.Fatalf("key %d: recording the end of the owner's run returned verdict %d", r.key, verdict)
 	}
 	if verdict == once.Done && code == result.OK {
 		o.answers[r.key] = body
 	}
 	if code == result.BackendRefused && current {
-		delete(o.ran, r.key)
+		delete(o.lastRun, r.key)
 	}
 }
 
-// die drops a run without a word, as a killed daemon does.
-func (o *oracle) die(t *rapid.T) {
-	if r := o.open(t); r != nil {
-		r.settled = true
+// crash abandons a run without recording its end, as a killed daemon does.
+func (o *oracle) crash(t *rapid.T) {
+	if r := o.pickOpenRun(t); r != nil {
+		r.finished = true
 	}
 }
 
-func (o *oracle) open(t *rapid.T) *run {
+func (o *oracle) pickOpenRun(t *rapid.T) *run {
 	var open []*run
 	for _, r := range o.runs {
-		if r.granted && !r.settled {
+		if r.granted && !r.finished {
 			open = append(open, r)
 		}
 	}
@@ -247,28 +247,28 @@
 	o.now = o.now.Add(time.Duration(rapid.IntRange(-2, 30).Draw(t, "seconds")) * time.Second)
 }
 
-// restore moves the table to another source by its snapshot.
+// restore transfers the table to another source with a snapshot.
 func (o *oracle) restore(t *rapid.T) {
 	raw, err := o.table.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := claims.New(wide)
+	other := claims.New(oracleLimits)
 	if err := other.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
 	again, err := other.Snapshot()
 	if err != nil || string(again) != string(raw) {
-		t.Fatalf("another snapshot after a restore (%v)", err)
+		t.Fatalf("the snapshot differs after a restore (%v)", err)
 	}
 	o.table = other
 }
 
 func (o *oracle) check(t *rapid.T) {
-	if o.table.Len() == wide.Claims {
-		o.full = o.latest
+	if o.table.Len() == oracleLimits.Claims {
+		o.lastFull = o.latest
 	}
-	if o.table.Len() > wide.Claims || o.table.AnswerBytes() > wide.AnswerBytes {
-		t.Fatalf("%d claims, %d bytes of answers", o.table.Len(), o.table.AnswerBytes())
+	if o.table.Len() > oracleLimits.Claims || o.table.AnswerBytes() > oracleLimits.AnswerBytes {
+		t.Fatalf("limits exceeded: %d claims, %d bytes of answers", o.table.Len(), o.table.AnswerBytes())
 	}
 }
