--- a/internal/process/view/alone_test.go
+++ b/internal/process/view/alone_test.go
@@ -8,12 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestAloneLooksAtOnce holds that a daemon none of whose links takes what it sends looks for
-// another one then, and not when they have been silent for 2.5 s. Half of the instances had
-// lost power at 3.29 s, all six links of one daemon among them; each said "envelope not
-// delivered" by 4.36 s, the links went down at 5.84 s ("link down"), another was up 0.11 s
-// later, and a version acknowledged at 4.31 s was in force at 6.00 s. One more join in vain,
-// which takes 1 s, and it is not in force within 2 s.
+// TestAloneLooksAtOnce guards against a daemon that waits for the silence timeout of
+// 2.5 s although messages on all its links already fail. It must ask another node at
+// once.
+//
+// Half of the instances lost power at 3.29 s, including all six linked to one daemon.
+// Deliveries had failed by 4.36 s, but the links ended at 5.84 s and a new one was up
+// 0.11 s later, so that a version acknowledged at 4.31 s was in force at 6.00 s. With
+// one more failed join, which takes 1 s, the limit of 2 s would have been missed.
 func TestAloneLooksAtOnce(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -44,11 +46,12 @@
 		found = joined(core.Unreachable(now, n.Addr)) || found
 	}
 	found = joined(core.Tick(now.Add(100*time.Millisecond))) || found
-	c.Check(found, qt.IsTrue, qt.Commentf("five links fail, and no other node is asked"))
+	c.Check(found, qt.IsTrue, qt.Commentf("all five links fail and no other node is asked"))
 }
 
-// TestSeveredAsksSeedsSeldom holds that a daemon whose links, candidates and seeds all refuse
-// connections at once asks its seeds with growing pauses and not as fast as they refuse.
+// TestSeveredAsksSeedsSeldom guards against a daemon that floods its seeds. If its
+// links, candidates and seeds all refuse connections at once, it must back off between
+// joins and not retry as fast as they are refused.
 func TestSeveredAsksSeedsSeldom(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/process/view/candidates.go
+++ b/internal/process/view/candidates.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// scopeCandidates is the most candidates remembered in each scope.
-	scopeCandidates = 8
-	// keptCandidates are remembered in each scope although they fail: a region
-	// that was cut off needs them to find back.
-	keptCandidates = 4
+	// maxCandidatesPerScope is the maximum number of candidates remembered in each
+	// scope.
+	maxCandidatesPerScope = 8
+	// minCandidatesPerScope is the number of candidates remembered in each scope even
+	// if they fail. A region that was cut off needs them to reconnect.
+	minCandidatesPerScope = 4
 
-	// minBackoff is how long a candidate is left alone that refused.
+	// minBackoff is the shortest delay before a candidate that refused is asked again.
 	minBackoff = DefaultBackoff
 	maxBackoff = 20 * time.Second
 )
@@ -21,19 +22,20 @@
 type candidate struct {
 	node     Node
 	failures int
-	// next is the earliest time to ask it.
-	next time.Time
+	// nextAttempt is the earliest time to ask the candidate.
+	nextAttempt time.Time
 }
 
-// candidates is the passive view of HyParView, bounded in each scope.
+// candidates is the passive view of HyParView, with a limited number of nodes in each
+// scope.
 type candidates struct {
-	self   Node
-	rand   *rand.Rand
-	scopes [scopes][]*candidate
+	self    Node
+	rand    *rand.Rand
+	byScope [numScopes][]*candidate
 }
 
 func (cs *candidates) find(name string) *candidate {
-	for _, scope := range cs.scopes {
+	for _, scope := range cs.byScope {
 		for _, c := range scope {
 			if c.node.Name == name {
 				return c
@@ -43,8 +45,8 @@
 	return nil
 }
 
-// learn remembers a node, in the place of a random one when there is no room.
-// A node that comes with another address or domain replaces its old self.
+// learn adds a node. If its scope is full, the node replaces a random one. A known
+// node with a new address or failure domain replaces its old entry.
 func (cs *candidates) learn(n Node) {
 	if n.Name == cs.self.Name || n.Name == "" {
 		return
@@ -56,70 +58,71 @@
 		cs.remove(n.Name)
 	}
 	scope := cs.self.ScopeOf(n)
-	list := cs.scopes[scope]
-	if len(list) < scopeCandidates {
-		cs.scopes[scope] = append(list, &candidate{node: n})
+	list := cs.byScope[scope]
+	if len(list) < maxCandidatesPerScope {
+		cs.byScope[scope] = append(list, &candidate{node: n})
 		return
 	}
 	list[cs.rand.IntN(len(list))] = &candidate{node: n}
 }
 
 func (cs *candidates) remove(name string) {
-	for scope, list := range cs.scopes {
+	for scope, list := range cs.byScope {
 		for i, c := range list {
 			if c.node.Name == name {
-				cs.scopes[scope] = append(list[:i], list[i+1:]...)
+				cs.byScope[scope] = append(list[:i], list[i+1:]...)
 				return
 			}
 		}
 	}
 }
 
-// fail notes a vain attempt: the node is asked again later, or forgotten while
+// markFailed records a failed attempt. The node is asked again later, or removed if
 // there are enough others.
-func (cs *candidates) fail(now time.Time, name string) {
+func (cs *candidates) markFailed(now time.Time, name string) {
 	c := cs.find(name)
 	if c == nil {
 		return
 	}
-	if len(cs.scopes[cs.self.ScopeOf(c.node)]) > keptCandidates {
+	if len(cs.byScope[cs.self.ScopeOf(c.node)]) > minCandidatesPerScope {
 		cs.remove(name)
 		return
 	}
 	c.failures++
-	c.next = now.Add(backoff(cs.rand, minBackoff, c.failures))
+	c.nextAttempt = now.Add(backoff(cs.rand, minBackoff, c.failures))
 }
 
-// postpone asks a node again after about d.
+// postpone delays the next attempt by about d.
 func (cs *candidates) postpone(now time.Time, name string, d time.Duration) {
 	if c := cs.find(name); c != nil {
 		c.failures = 0
-		c.next = now.Add(d/2 + jitter(cs.rand, d))
+		c.nextAttempt = now.Add(d/2 + jitter(cs.rand, d))
 	}
 }
 
-// pick returns a random node of a scope that may be asked now.
-// It leaves out those that are taken.
-func (cs *candidates) pick(now time.Time, scope Scope, taken func(name string) bool) *Node {
-	var free []Node
-	for _, c := range cs.scopes[scope] {
-		if !taken(c.node.Name) && !now.Before(c.next) {
-			free = append(free, c.node)
+// pick returns a random node of a scope that may be asked now and is not excluded, or
+// nil.
+func (cs *candidates) pick(now time.Time, scope Scope, exclude func(name string) bool) *Node {
+	var eligible []Node
+	for _, c := range cs.byScope[scope] {
+		if !exclude(c.node.Name) && !now.Before(c.nextAttempt) {
+			eligible = append(eligible, c.node)
 		}
 	}
-	if len(free) == 0 {
+	if len(eligible) == 0 {
 		return nil
 	}
-	return &free[cs.rand.IntN(len(free))]
+	return &eligible[cs.rand.IntN(len(eligible))]
 }
 
-// jitter is a random time below d (full jitter).
+// jitter returns a random duration of at most d (full jitter).
 func jitter(r *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(d) + 1))
 }
 
-// backoff doubles with each failure, with full jitter.
-func backoff(r *rand.Rand, least time.Duration, failures int) time.Duration {
-	limit := least << min(failures, 10)
-	return least/2 + jitter(r, min(limit, maxBackoff))
+// backoff returns an exponential delay with full jitter, which doubles with each
+// failure up to maxBackoff.
+func backoff(r *rand.Rand, base time.Duration, failures int) time.Duration {
+	limit := base << min(failures, 10)
+	return base/2 + jitter(r, min(limit, maxBackoff))
 }
--- a/internal/process/view/displace.go
+++ b/internal/process/view/displace.go
@@ -1,18 +1,18 @@
 package view
 
-// displace ends one link, to make room for a node: one that fails, or else one of
-// the scope that has most to spare.
-func (c *Core) displace(by Node) []Action {
-	victims := c.failing()
+// displace ends one link to make room for a node: a failing one, or else one of the
+// scope with the largest surplus of links.
+func (c *Core) displace(joining Node) []Action {
+	victims := c.failingNodes()
 	if len(victims) == 0 {
-		victims = c.spare(by)
+		victims = c.surplusLinks(joining)
 	}
 	victim := victims[c.rand.IntN(len(victims))]
-	leave := Message{Type: MsgLeave, Known: []Node{by}}
-	return append(c.down(victim.Name, false), c.send(victim, leave))
+	leave := Message{Type: MsgLeave, Known: []Node{joining}}
+	return append(c.removeLink(victim.Name, false), c.send(victim, leave))
 }
 
-func (c *Core) failing() []Node {
+func (c *Core) failingNodes() []Node {
 	var nodes []Node
 	for _, n := range c.nodes {
 		if c.links[n.Name].failing {
@@ -22,20 +22,20 @@
 	return nodes
 }
 
-// spare returns the links of the scope that would have most to spare beside a new
-// link.
-func (c *Core) spare(by Node) []Node {
+// surplusLinks returns the nodes of the scope that would have the largest surplus
+// after a link to the joining node is added.
+func (c *Core) surplusLinks(joining Node) []Node {
 	counts := c.counts()
-	counts[c.cfg.Self.ScopeOf(by)]++
-	spare := SameDomain
-	for s := range scopes {
-		if counts[s]-c.want[s] > counts[spare]-c.want[spare] {
-			spare = s
+	counts[c.cfg.Self.ScopeOf(joining)]++
+	surplus := SameDomain
+	for s := range numScopes {
+		if counts[s]-c.targets[s] > counts[surplus]-c.targets[surplus] {
+			surplus = s
 		}
 	}
 	var nodes []Node
 	for _, n := range c.nodes {
-		if c.cfg.Self.ScopeOf(n) == spare {
+		if c.cfg.Self.ScopeOf(n) == surplus {
 			nodes = append(nodes, n)
 		}
 	}
@@ -45,8 +45,8 @@
 	return nodes
 }
 
-func (c *Core) counts() [scopes]int {
-	var counts [scopes]int
+func (c *Core) counts() [numScopes]int {
+	var counts [numScopes]int
 	for _, l := range c.links {
 		counts[c.cfg.Self.ScopeOf(l.node)]++
 	}
--- a/internal/process/view/join.go
+++ b/internal/process/view/join.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// joinTimeout bounds the wait for the answer to a join.
+	// joinTimeout limits the wait for the reply to a join.
 	joinTimeout = 2 * time.Second
-	// severedJoins is how many nodes a daemon asks at once whose links all fail. Where
-	// half of the fleet has lost power, a join to an instance without power takes a
-	// second to fail, and three at once are all in vain one time in eight.
-	severedJoins = 3
+	// maxParallelJoins is how many nodes a daemon asks at once when all its links
+	// fail. If half of the fleet has lost power, a join to an instance without power
+	// takes a second to fail, and three joins at once all fail one time in eight.
+	maxParallelJoins = 3
 )
 
-// attempt is a join that waits for its answer.
+// attempt is a join that waits for its reply.
 type attempt struct {
-	// name is empty when a seed is asked.
+	// name is empty if a seed is asked.
 	name, addr string
-	until      time.Time
+	deadline   time.Time
 }
 
-// attempts are the joins under way: at most one, or severedJoins while every link
-// fails.
+// attempts are the pending joins: at most one, or maxParallelJoins while all links
+// fail.
 type attempts []attempt
 
-// asks reports whether a join to the node named is under way.
-func (as attempts) asks(name string) bool {
+// pending reports whether a join to the named node is pending.
+func (as attempts) pending(name string) bool {
 	return slices.ContainsFunc(as, func(a attempt) bool { return a.name == name })
 }
 
-// end takes out the first attempt that is meant, and returns it or nil.
-func (as *attempts) end(meant func(attempt) bool) *attempt {
-	i := slices.IndexFunc(*as, meant)
+// remove removes the first matching attempt and returns it, or nil if there is none.
+func (as *attempts) remove(match func(attempt) bool) *attempt {
+	i := slices.IndexFunc(*as, match)
 	if i < 0 {
 		return nil
 	}
@@ -41,32 +41,32 @@
 	return &a
 }
 
-// expire takes out the attempts whose time is over.
+// expire removes and returns the attempts whose deadline has passed.
 func (as *attempts) expire(now time.Time) []attempt {
-	var over []attempt
-	late := func(a attempt) bool { return now.After(a.until) }
-	for a := as.end(late); a != nil; a = as.end(late) {
-		over = append(over, *a)
+	var expired []attempt
+	timedOut := func(a attempt) bool { return now.After(a.deadline) }
+	for a := as.remove(timedOut); a != nil; a = as.remove(timedOut) {
+		expired = append(expired, *a)
 	}
-	return over
+	return expired
 }
 
-// answered ends the attempt that a message of from answers.
-func (c *Core) answered(from Node) {
-	a := c.attempts.end(func(a attempt) bool { return a.name == from.Name || a.addr == from.Addr })
+// joinAnswered removes the attempt that a message from a node replies to.
+func (c *Core) joinAnswered(from Node) {
+	a := c.attempts.remove(func(a attempt) bool { return a.name == from.Name || a.addr == from.Addr })
 	if a != nil && a.name == "" {
 		c.seedFailures = 0
 	}
 }
 
-// attemptFailed draws the consequences of a join that is over without an answer.
+// attemptFailed schedules the next attempt after a join ended without a reply.
 func (c *Core) attemptFailed(now time.Time, a attempt) {
 	if a.name != "" {
-		c.candidates.fail(now, a.name)
+		c.candidates.markFailed(now, a.name)
 		return
 	}
 	c.seedFailures++
-	if c.alone() {
+	if c.noWorkingLink() {
 		c.seedNext = now.Add(backoff(c.rand, c.cfg.Backoff, c.seedFailures))
 	}
 }
--- a/internal/process/view/types.go
+++ b/internal/process/view/types.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Node is how daemons name one another.
+// Node identifies a daemon.
 type Node struct {
 	Name string
 	// Addr is the address of the peer listener.
@@ -14,7 +14,7 @@
 	Domain string
 }
 
-// Scope tells how far away a node is in terms of failure domains.
+// Scope is the distance of a node in terms of failure domains.
 type Scope uint8
 
 // The scopes, from near to far.
@@ -22,10 +22,10 @@
 	SameDomain Scope = iota
 	SameRegion
 	OtherRegion
-	scopes
+	numScopes
 )
 
-// ScopeOf tells how far o is from n.
+// ScopeOf returns the scope of o as seen from n.
 func (n Node) ScopeOf(o Node) Scope {
 	switch {
 	case n.Region != o.Region:
@@ -38,83 +38,81 @@
 
 func compareNames(a, b Node) int { return strings.Compare(a.Name, b.Name) }
 
-// MessageType tells what a Message is.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The message types.
 const (
-	// MsgAlive keeps a link alive when nothing else was sent.
+	// MsgAlive keeps a link alive if nothing else was sent.
 	MsgAlive MessageType = iota + 1
-	// MsgJoin asks for a link.
+	// MsgJoin requests a link.
 	MsgJoin
 	// MsgAccept confirms a link.
 	MsgAccept
-	// MsgRefuse turns a join down, refers to other nodes and says when to come
-	// back.
+	// MsgRefuse refuses a join, names other nodes and says when to retry.
 	MsgRefuse
 	// MsgLeave ends a link.
 	MsgLeave
 )
 
-// Message is what views exchange.
+// Message is a message between the views of two daemons.
 type Message struct {
 	Type MessageType
 	// Node is the sender; set in MsgJoin, MsgAccept and MsgRefuse.
 	Node *Node
-	// Urgent marks a join that may displace another link: the sender has none
-	// in this scope, or makes sure that the fleet is in one piece.
+	// Urgent marks a join that may displace another link: the sender has none in this
+	// scope, or checks that the fleet is not split.
 	Urgent bool
 	// Known are other nodes to ask; set in MsgAccept, MsgRefuse and MsgLeave.
 	Known []Node
-	// After is how long to wait before asking again; set in MsgRefuse.
+	// After is the delay before the next join; set in MsgRefuse.
 	After time.Duration
 }
 
-// Action is what the driver must do; exactly one field is set.
+// Action is an instruction to the driver. Exactly one field is set.
 type Action struct {
-	// Send delivers Message to a node.
+	// Send is a message to send to a node.
 	Send *Send
-	// Up tells that a link is now live.
+	// Up is the node of a link that was established.
 	Up *Node
-	// Down tells that a link has ended.
+	// Down is a link that ended.
 	Down *Down
-	// Conflict is another live node that has this node's name or that of a link.
+	// Conflict is another live node with the name of this node or of a linked one.
 	Conflict *Node
 }
 
-// Send delivers a message.
+// Send is a message and its recipient.
 type Send struct {
 	To      Node
 	Message Message
 }
 
-// Down is the end of a link; Failed when the other side fell silent.
+// Down is a link that ended. Failed is set if the other side fell silent.
 type Down struct {
 	Node   Node
 	Failed bool
 }
 
-// Config is fixed for the life of a Core.
+// Config configures a Core.
 type Config struct {
 	Self Node
-	// Seeds are peer addresses of nodes to begin with.
+	// Seeds are peer addresses of the nodes to contact first.
 	Seeds []string
-	// Active is the number of links to aim for, at least 3.
+	// Active is the target number of links, at least 3.
 	Active int
-	// Max is the most links kept, more than Active.
+	// Max is the maximum number of links, greater than Active.
 	Max int
-	// Interval is the longest time that a link stays without a message from
-	// this side.
+	// Interval is the maximum time between messages sent on a link.
 	Interval time.Duration
-	// Silence is how long a link may be silent before it counts as failed.
+	// Silence is how long a link may be silent before it is considered failed.
 	Silence time.Duration
-	// Backoff bounds the random wait before the first seed is asked, and doubles
-	// with each vain attempt; 0 is DefaultBackoff. It spreads the return of a
-	// fleet of which all daemons were restarted.
+	// Backoff limits the random delay before the first seed is asked. It doubles with
+	// each failed attempt; 0 means DefaultBackoff. It spreads the joins after all
+	// daemons of a fleet were restarted.
 	Backoff time.Duration
-	// Seed makes the random choices of this Core.
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// DefaultBackoff suits thousands of daemons at three seeds.
+// DefaultBackoff is sufficient for thousands of daemons and three seeds.
 const DefaultBackoff = 500 * time.Millisecond
--- a/internal/process/view/view.go
+++ b/internal/process/view/view.go
@@ -1,13 +1,12 @@
-// Package view decides which few other daemons this one keeps live links to: a
-// small symmetric partial view of the fleet with a bounded number of links and
-// a bounded number of candidates for more, after Leitão, Pereira and Rodrigues,
-// "HyParView: a membership protocol for reliable gossip-based broadcast"
-// (2007). The links are spread over failure domains, so that a region that is
-// cut off stays connected inside itself. Candidates come from referrals and
-// from the presence table, which names every daemon anyway, in place of
-// HyParView's shuffles.
+// Package view selects the other daemons that this one keeps links to: a small
+// symmetric partial view of the fleet with a limited number of links and of candidates
+// for more, after Leitão, Pereira and Rodrigues, "HyParView: a membership protocol for
+// reliable gossip-based broadcast" (2007). The links are spread over failure domains,
+// so that a region that is cut off stays connected internally. Instead of HyParView's
+// shuffles, candidates come from referrals and from the presence table, which contains
+// every daemon anyway.
 //
-// The package does no I/O: messages and time come in, actions go out.
+// The package does no I/O: messages and the time are passed in, actions are returned.
 package view
 
 import (
@@ -18,42 +17,45 @@
 
 type link struct {
 	node Node
-	// heard and sent are the times of the last message in each direction.
-	heard, sent time.Time
-	// rival is when another address first asked under the same name.
-	rival time.Time
-	// failing is set when something could not be delivered, until the node is heard
-	// again.
+	// lastReceived and lastSent are the times of the last message in each direction.
+	lastReceived, lastSent time.Time
+	// conflictSince is when a node with another address first requested a link under
+	// the same name.
+	conflictSince time.Time
+	// failing is set when a message could not be delivered, until the next message
+	// from the node.
 	failing bool
 }
 
-// Core holds the view. It is not safe for concurrent use.
+// Core is the state of the view. It is not safe for concurrent use.
 //
 // Invariant: len(links) is at most cfg.Max.
 type Core struct {
-	cfg   Config
-	want  [scopes]int
-	rand  *rand.Rand
-	links map[string]*link
-	// nodes are the nodes of links in order of name; the slice is replaced, never
-	// changed.
+	cfg     Config
+	targets [numScopes]int
+	rand    *rand.Rand
+	links   map[string]*link
+	// nodes are the linked nodes, sorted by name. The slice is replaced and never
+	// modified.
 	nodes      []Node
 	candidates candidates
 	attempts   attempts
 
-	// restless asks for one link more than wanted; seeks counts the calls of Seek.
-	restless bool
-	seeks    int
-	// fleet is the number of daemons known.
-	fleet int
-	// seedNext is when a seed is asked next; seedFailures counts vain attempts.
+	// seekExtra requests one link more than needed. seekCount counts the calls of
+	// Seek.
+	seekExtra bool
+	seekCount int
+	// fleetSize is the number of known daemons.
+	fleetSize int
+	// seedNext is when a seed is asked next. seedFailures counts the failed attempts.
 	seedNext     time.Time
 	seedFailures int
-	// displaceNext is when a full view may displace a link again.
+	// displaceNext is the earliest time at which a full view may displace a link
+	// again.
 	displaceNext time.Time
-	// refused counts the refusals since refusedSince.
-	refused      int
-	refusedSince time.Time
+	// refusals counts the refusals since refusalsSince.
+	refusals      int
+	refusalsSince time.Time
 }
 
 // New returns a Core without links.
@@ -62,21 +64,21 @@
 	if cfg.Backoff == 0 {
 		cfg.Backoff = DefaultBackoff
 	}
-	near := (cfg.Active - 1) / 2
+	sameDomain := (cfg.Active - 1) / 2
 	return &Core{
-		cfg: cfg, rand: r, links: map[string]*link{}, fleet: 1,
-		want:       [scopes]int{SameDomain: near, SameRegion: cfg.Active - 1 - near, OtherRegion: 1},
+		cfg: cfg, rand: r, links: map[string]*link{}, fleetSize: 1,
+		targets:    [numScopes]int{SameDomain: sameDomain, SameRegion: cfg.Active - 1 - sameDomain, OtherRegion: 1},
 		candidates: candidates{self: cfg.Self, rand: r},
 	}
 }
 
-// Links returns the live links in order of name; the slice must not be changed.
+// Links returns the links sorted by name. The slice must not be modified.
 func (c *Core) Links() []Node { return c.nodes }
 
-// Linked reports whether there is a link to the node named.
+// Linked reports whether there is a link to the named node.
 func (c *Core) Linked(name string) bool { return c.links[name] != nil }
 
-// Learn adds candidates for links.
+// Learn adds candidates.
 func (c *Core) Learn(nodes ...Node) {
 	for _, n := range nodes {
 		c.candidates.learn(n)
@@ -84,68 +86,70 @@
 }
 
 // Lacks reports whether a scope has room for more candidates.
-func (c *Core) Lacks(s Scope) bool { return len(c.candidates.scopes[s]) < scopeCandidates }
+func (c *Core) Lacks(s Scope) bool { return len(c.candidates.byScope[s]) < maxCandidatesPerScope }
 
-// SetFleet tells how many daemons are known; seeds are asked less often in a
-// large fleet.
-func (c *Core) SetFleet(n int) { c.fleet = max(n, 1) }
+// SetFleet sets the number of known daemons. In a large fleet seeds are asked less
+// often.
+func (c *Core) SetFleet(n int) { c.fleetSize = max(n, 1) }
 
-// SetSeeds changes the peer addresses that links begin with.
+// SetSeeds replaces the seeds.
 func (c *Core) SetSeeds(seeds []string) { c.cfg.Seeds = seeds }
 
-// Seek looks for a link to another node, in the place of one that is there if
-// need be: the present ones do not bring what they should.
+// Seek requests a link to another node, in place of an existing one if necessary. The
+// caller uses it when the present links do not deliver what they should.
 func (c *Core) Seek() {
-	// A source that was restarted knows nobody: the seeds, every second time.
-	c.seeks++
-	c.restless = c.seeks%2 == 0
+	// A restarted source knows no other daemon, so every second call asks a seed
+	// instead of a candidate.
+	c.seekCount++
+	c.seekExtra = c.seekCount%2 == 0
 	c.seedNext = time.Unix(0, 0)
 }
 
-// Heard notes that a node said something, whatever it was.
+// Heard records that a message of any kind was received from a node.
 func (c *Core) Heard(now time.Time, name string) {
 	if l := c.links[name]; l != nil {
-		l.heard = now
+		l.lastReceived = now
 		l.failing = false
 	}
 }
 
-// Sent notes that something was sent to a node; it spares a keep-alive.
+// Sent records that a message was sent to a node, which makes a keep-alive
+// unnecessary.
 func (c *Core) Sent(now time.Time, name string) {
 	if l := c.links[name]; l != nil {
-		l.sent = now
+		l.lastSent = now
 	}
 }
 
-// Unreachable notes that nothing could be delivered to an address. A join that
-// waits for it ends now; a link is left to its time of silence, but once every
-// link fails others are looked for at once.
+// Unreachable records that a message could not be delivered to an address. A pending
+// join to the address fails. A link is kept until its silence timeout, but if all
+// links are failing, other nodes are asked at once.
 func (c *Core) Unreachable(now time.Time, addr string) []Action {
-	before := c.severed()
+	before := c.allLinksFailing()
 	for _, l := range c.links {
 		l.failing = l.failing || l.node.Addr == addr
 	}
-	if !before && c.severed() {
+	if !before && c.allLinksFailing() {
 		c.seedFailures = 0
 		c.seedNext = now.Add(jitter(c.rand, c.cfg.Backoff))
 	}
-	a := c.attempts.end(func(a attempt) bool { return a.addr == addr })
+	a := c.attempts.remove(func(a attempt) bool { return a.addr == addr })
 	if a != nil {
 		c.attemptFailed(now, *a)
 	}
-	if a == nil && !c.severed() {
+	if a == nil && !c.allLinksFailing() {
 		return nil
 	}
 	return c.seek(now)
 }
 
-// severed reports whether this daemon has links and every one of them fails. Versions
-// and heartbeats then reach it no more, which the time of silence would tell only
-// seconds later.
-func (c *Core) severed() bool { return len(c.links) > 0 && c.alone() }
+// allLinksFailing reports whether this daemon has links and all of them are failing.
+// Versions and heartbeats then no longer reach it, which the silence timeout would
+// only detect seconds later.
+func (c *Core) allLinksFailing() bool { return len(c.links) > 0 && c.noWorkingLink() }
 
-// alone reports whether there is no link that works.
-func (c *Core) alone() bool {
+// noWorkingLink reports whether there is no link that is not failing.
+func (c *Core) noWorkingLink() bool {
 	for _, l := range c.links {
 		if !l.failing {
 			return false
@@ -154,12 +158,13 @@
 	return true
 }
 
-// Stray answers a node that takes this one for a link.
+// Stray replies to a node that considers this one a link although there is none: it
+// tells the node to end the link.
 func (c *Core) Stray(from Node) []Action {
 	return []Action{c.send(from, Message{Type: MsgLeave})}
 }
 
-// Receive takes in a message. MsgAlive needs no answer of its own.
+// Receive processes a message. MsgAlive needs no reply.
 func (c *Core) Receive(now time.Time, from string, m Message) []Action {
 	switch m.Type {
 	case MsgJoin:
@@ -177,7 +182,7 @@
 	case MsgLeave:
 		c.Learn(m.Known...)
 		c.candidates.postpone(now, from, minBackoff)
-		return append(c.down(from, false), c.seek(now)...)
+		return append(c.removeLink(from, false), c.seek(now)...)
 	}
 	return nil
 }
@@ -191,10 +196,10 @@
 	}
 	var actions []Action
 	if old := c.links[from.Name]; old != nil {
-		if old.node.Addr != from.Addr && now.Sub(old.heard) < c.cfg.Silence {
-			return append(c.rival(now, old, from), c.refuse(now, from))
+		if old.node.Addr != from.Addr && now.Sub(old.lastReceived) < c.cfg.Silence {
+			return append(c.reportConflict(now, old, from), c.refuse(now, from))
 		}
-		actions = c.down(from.Name, false)
+		actions = c.removeLink(from.Name, false)
 	}
 	if len(c.links) >= c.cfg.Max {
 		if !urgent || now.Before(c.displaceNext) {
@@ -203,17 +208,17 @@
 		c.displaceNext = now.Add(c.cfg.Interval)
 		actions = append(actions, c.displace(from)...)
 	}
-	accept := c.send(from, Message{Type: MsgAccept, Node: &c.cfg.Self, Known: c.sample(from.Name)})
-	return append(append(actions, accept), c.up(now, from)...)
+	accept := c.send(from, Message{Type: MsgAccept, Node: &c.cfg.Self, Known: c.referral(from.Name)})
+	return append(append(actions, accept), c.addLink(now, from)...)
 }
 
-// rival reports another address under the name of a link once the link outlived
-// the time in which an earlier process would have fallen silent.
-func (c *Core) rival(now time.Time, l *link, from Node) []Action {
-	if l.rival.IsZero() {
-		l.rival = now
+// reportConflict reports a node with another address under the name of a link, once
+// the link has lasted longer than it would take an earlier process to fall silent.
+func (c *Core) reportConflict(now time.Time, l *link, from Node) []Action {
+	if l.conflictSince.IsZero() {
+		l.conflictSince = now
 	}
-	if now.Sub(l.rival) <= c.cfg.Silence {
+	if now.Sub(l.conflictSince) <= c.cfg.Silence {
 		return nil
 	}
 	return []Action{{Conflict: &from}}
@@ -221,12 +226,12 @@
 
 func (c *Core) receiveAccept(now time.Time, from Node, known []Node) []Action {
 	c.Learn(known...)
-	c.answered(from)
+	c.joinAnswered(from)
 	if from.Name == c.cfg.Self.Name {
 		return nil
 	}
 	if l := c.links[from.Name]; l != nil {
-		l.heard = now
+		l.lastReceived = now
 		l.failing = false
 		return nil
 	}
@@ -234,14 +239,14 @@
 	if len(c.links) >= c.cfg.Max {
 		actions = c.displace(from)
 	}
-	return append(append(actions, c.up(now, from)...), c.seek(now)...)
+	return append(append(actions, c.addLink(now, from)...), c.seek(now)...)
 }
 
 func (c *Core) receiveRefuse(now time.Time, from Node, m Message) []Action {
 	if from.Name == c.cfg.Self.Name && from.Addr != c.cfg.Self.Addr {
 		return []Action{{Conflict: &from}}
 	}
-	c.answered(from)
+	c.joinAnswered(from)
 	c.Learn(from)
 	c.Learn(m.Known...)
 	c.candidates.postpone(now, from.Name, m.After)
@@ -252,20 +257,20 @@
 }
 
 const (
-	// refusalCost is the time that each refusal within the last second adds to
-	// "come back in".
-	refusalCost  = 20 * time.Millisecond
-	refusalReset = time.Second
+	// refusalDelay is added to the delay in a refusal for each refusal within
+	// refusalWindow.
+	refusalDelay  = 20 * time.Millisecond
+	refusalWindow = time.Second
 )
 
 func (c *Core) refuse(now time.Time, to Node) Action {
-	if now.Sub(c.refusedSince) > refusalReset {
-		c.refusedSince, c.refused = now, 0
+	if now.Sub(c.refusalsSince) > refusalWindow {
+		c.refusalsSince, c.refusals = now, 0
 	}
-	c.refused++
-	known := c.sample(to.Name)
+	c.refusals++
+	known := c.referral(to.Name)
 	c.Learn(to)
-	after := min(minBackoff+time.Duration(c.refused)*refusalCost, maxBackoff)
+	after := min(minBackoff+time.Duration(c.refusals)*refusalDelay, maxBackoff)
 	return c.send(to, Message{Type: MsgRefuse, Node: &c.cfg.Self, Known: known, After: after})
 }
 
@@ -273,13 +278,13 @@
 	return Action{Send: &Send{To: to, Message: m}}
 }
 
-// sampleSize is the number of nodes that a referral names.
-const sampleSize = 6
+// referralSize is the maximum number of nodes in a referral.
+const referralSize = 6
 
-// sample draws from links and candidates alike.
-func (c *Core) sample(except string) []Node {
+// referral returns a random selection of links and candidates.
+func (c *Core) referral(except string) []Node {
 	nodes := slices.Clone(c.nodes)
-	for _, scope := range c.candidates.scopes {
+	for _, scope := range c.candidates.byScope {
 		for _, cand := range scope {
 			if c.links[cand.node.Name] == nil && cand.failures == 0 {
 				nodes = append(nodes, cand.node)
@@ -288,18 +293,18 @@
 	}
 	nodes = slices.DeleteFunc(nodes, func(n Node) bool { return n.Name == except })
 	c.rand.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	return nodes[:min(len(nodes), sampleSize)]
+	return nodes[:min(len(nodes), referralSize)]
 }
 
-func (c *Core) up(now time.Time, n Node) []Action {
+func (c *Core) addLink(now time.Time, n Node) []Action {
 	c.Learn(n)
-	c.links[n.Name] = &link{node: n, heard: now, sent: now}
+	c.links[n.Name] = &link{node: n, lastReceived: now, lastSent: now}
 	c.nodes = append(slices.Clone(c.nodes), n)
 	slices.SortFunc(c.nodes, compareNames)
 	return []Action{{Up: &n}}
 }
 
-func (c *Core) down(name string, failed bool) []Action {
+func (c *Core) removeLink(name string, failed bool) []Action {
 	l := c.links[name]
 	if l == nil {
 		return nil
