--- a/internal/process/presence/memory_test.go
+++ b/internal/process/presence/memory_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// wire takes records through the codec, as a daemon receives them.
-func wire(tb testing.TB, in []presence.Record) (out []presence.Record, size int) {
+// gobRoundTrip encodes and decodes records as on the way to another daemon, and
+// returns the encoded size.
+func gobRoundTrip(tb testing.TB, in []presence.Record) (out []presence.Record, size int) {
 	var buf bytes.Buffer
 	qt.Assert(tb, gob.NewEncoder(&buf).Encode(in), qt.IsNil)
 	size = buf.Len()
@@ -35,7 +36,7 @@
 	return out, size
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -43,26 +44,26 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkTable measures the heap that a table takes, and one change in it.
+// BenchmarkTable measures the heap size of a table and the cost of one change.
 //
 //	go test -run '^$' -bench Table ./internal/process/presence
 func BenchmarkTable(b *testing.B) {
 	now := time.UnixMilli(1_700_000_000_000)
 	for _, size := range []int{100, 1000, 5000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			core := presence.New(presence.Config{Self: view.Node{Name: "self"}, Incarnation: 1, Seed: 1})
-			bytesEach := 0
+			wireBytes := 0
 			for i := 0; i < size; i += 50 {
 				var batch []presence.Record
 				for j := i; j < i+50; j++ {
 					batch = append(batch, fleetRecord(j))
 				}
-				records, n := wire(b, batch)
-				bytesEach += n
+				records, n := gobRoundTrip(b, batch)
+				wireBytes += n
 				core.Receive(now, "peer", presence.Message{Type: presence.MsgRecords, Repair: true, Records: records})
 			}
-			used := heap() - before
+			used := heapBytes() - before
 			r := fleetRecord(0)
 			b.ResetTimer()
 			for range b.N {
@@ -71,7 +72,7 @@
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(used)/float64(size), "heap-B/record")
-			b.ReportMetric(float64(bytesEach)/float64(size), "wire-B/record")
+			b.ReportMetric(float64(wireBytes)/float64(size), "wire-B/record")
 			runtime.KeepAlive(core)
 		})
 	}
--- a/internal/process/presence/record.go
+++ b/internal/process/presence/record.go
@@ -8,10 +8,10 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// ServerState is the phase of a backend server's life.
+// ServerState is the lifecycle state of a backend server.
 type ServerState uint8
 
-// The states of a backend server, in the order of its life.
+// The states of a backend server, in lifecycle order.
 const (
 	Joining ServerState = iota
 	Warming
@@ -19,7 +19,7 @@
 	Draining
 )
 
-// String returns the state in one word.
+// String returns the lower-case name of the state.
 func (s ServerState) String() string {
 	switch s {
 	case Joining:
@@ -34,10 +34,10 @@
 	return "unknown"
 }
 
-// TakesWork reports whether a server in this state gets new requests.
+// TakesWork reports whether a server in this state receives new requests.
 func (s ServerState) TakesWork() bool { return s == Warming || s == Serving }
 
-// Server is one backend server beside the record's owner.
+// Server is a backend server on the instance of the owner of the record.
 type Server struct {
 	Mesh    string
 	Service string
@@ -46,51 +46,52 @@
 	Slots       int
 	Connections int
 	State       ServerState
-	// Boot names one start of the server; "" if it does not tell.
+	// Boot identifies one start of the server; "" if the server does not report it.
 	Boot string
-	// Started is when the boot began, in Unix milliseconds; 0 if it does not tell. One
-	// that starts again may keep its name.
+	// Started is when the boot began, in Unix milliseconds; 0 if the server does not
+	// report it. A server that is restarted may keep its Boot.
 	Started int64
-	// Version names the server's software; "" if it does not tell. Cold is set while it
-	// still works slowly after its start, where roll-outs are in use.
+	// Version is the version of the server's software; "" if the server does not
+	// report it. Cold is set while the server is still slow after its start, if
+	// roll-outs are in use.
 	Version string
 	Cold    bool
-	// Since is when the server began to take work, by the owner's clock, in Unix
-	// milliseconds: its first announcement as warming or serving after it was
-	// unknown or draining. 0 while it takes none.
+	// Since is when the server began to take work, on the clock of the owner, in Unix
+	// milliseconds: its first announcement as warming or serving after it was unknown
+	// or draining. It is 0 while the server takes no work.
 	Since int64
 }
 
-// MaxServers bounds the backend servers that one record carries.
+// MaxServers is the maximum number of backend servers in a record.
 const MaxServers = 16
 
-// Record is what a daemon says of itself. A record in a table is not changed
-// any more: a newer one takes its place.
+// Record is the state that a daemon publishes about itself. A record in a table is
+// never modified, only replaced by a newer one.
 type Record struct {
 	Node view.Node
-	// Incarnation is the start time of the owner's process in Unix
-	// milliseconds, raised above every earlier one that the owner learns of.
+	// Incarnation is the start time of the owner's process in Unix milliseconds,
+	// raised above every earlier incarnation that the owner learns of.
 	Incarnation uint64
-	// Seq counts the contents of this incarnation.
+	// Seq is the version of the content within this incarnation.
 	Seq uint64
-	// Life counts the refutations of this content.
+	// Life is the number of refutations of this content.
 	Life uint64
-	// Leaving is set before a planned stop: no new work.
+	// Leaving is set before a planned stop: the daemon takes no new work.
 	Leaving bool
-	// Servers are at most MaxServers.
+	// Servers are the backend servers; at most MaxServers.
 	Servers []Server
-	// Suspects are requests in progress at crashes beside the owner; at most
-	// MaxSuspects.
+	// Suspects are requests that were in progress when a backend server of the owner
+	// crashed; at most MaxSuspects.
 	Suspects []Suspect
 }
 
-// ID names a daemon: a hash of its name.
+// ID identifies a daemon: a hash of its name.
 type ID uint64
 
-// IDOf returns the ID of the daemon named.
+// IDOf returns the ID of the named daemon.
 func IDOf(name string) ID { return ID(xxhash.Sum64String(name)) }
 
-// Stamp names one state of a record.
+// Stamp is the version of a record.
 type Stamp struct {
 	ID          ID
 	Incarnation uint64
@@ -102,7 +103,7 @@
 	return Stamp{ID: IDOf(r.Node.Name), Incarnation: r.Incarnation, Seq: r.Seq, Life: r.Life}
 }
 
-// newer reports whether s follows o.
+// newer reports whether s is newer than o.
 func (s Stamp) newer(o Stamp) bool {
 	if s.Incarnation != o.Incarnation {
 		return s.Incarnation > o.Incarnation
@@ -113,12 +114,12 @@
 	return s.Life > o.Life
 }
 
-// sameContent reports whether both name the same content.
+// sameContent reports whether both stamps refer to the same content.
 func (s Stamp) sameContent(o Stamp) bool {
 	return s.Incarnation == o.Incarnation && s.Seq == o.Seq
 }
 
-// hash mixes all parts (the finalizer of SplitMix64 between them).
+// hash hashes all fields, with the finalizer of SplitMix64 between them.
 func (s Stamp) hash() uint64 {
 	h := uint64(s.ID)
 	for _, part := range []uint64{s.Incarnation, s.Seq, s.Life} {
@@ -129,9 +130,8 @@
 	return h
 }
 
-// compact bounds a record that came from outside and lets equal strings share
-// their memory.
-func (r *Record) compact() {
+// normalize limits the size of a received record and makes equal strings share memory.
+func (r *Record) normalize() {
 	r.Node.Region = intern(r.Node.Region)
 	r.Node.Domain = intern(r.Node.Domain)
 	r.Servers = r.Servers[:min(len(r.Servers), MaxServers)]
--- a/internal/process/presence/restart_test.go
+++ b/internal/process/presence/restart_test.go
@@ -10,7 +10,8 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// deliver carries what the actions of one core send to the other, until nothing is left.
+// deliver exchanges the messages in actions between the cores until there are none
+// left.
 func deliver(now time.Time, cores map[string]*presence.Core, from string, actions []presence.Action) {
 	for _, a := range actions {
 		if a.Send != nil {
@@ -20,8 +21,9 @@
 	}
 }
 
-// TestRestartForgetsSuspects guards against requests that crash servers and run again like any
-// other, because the daemon that saw the crashes was started anew.
+// TestRestartForgetsSuspects guards against the loss of suspects in a restart. If the
+// daemon that saw the crashes forgot them, the requests that crash servers would run
+// again like any other.
 func TestRestartForgetsSuspects(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -33,7 +35,7 @@
 		deliver(now, cores, "a", cores["a"].LinkUp(now, "b"))
 		deliver(now, cores, "b", cores["b"].LinkUp(now, "a"))
 	}
-	told := func(core, owner string) []presence.Suspect {
+	suspectsSeen := func(core, owner string) []presence.Suspect {
 		for _, r := range cores[core].Records() {
 			if r.Node.Name == owner {
 				return r.Suspects
@@ -44,16 +46,17 @@
 	link()
 	crashed := []presence.Suspect{{Fingerprint: 7, Crashes: 2, Until: 5_000_000}, {Fingerprint: 8, Crashes: 1, Until: 4_000_000}}
 	deliver(now, cores, "a", cores["a"].SetSuspects(crashed))
-	c.Assert(told("b", "a"), qt.DeepEquals, crashed)
+	c.Assert(suspectsSeen("b", "a"), qt.DeepEquals, crashed)
 
 	cores["a"] = start("a", 2)
 	deliver(now, cores, "b", cores["b"].LinkDown(now, "a", true))
 	link()
-	c.Check(told("a", "a"), qt.DeepEquals, crashed)
-	c.Check(told("b", "a"), qt.DeepEquals, crashed)
+	c.Check(suspectsSeen("a", "a"), qt.DeepEquals, crashed)
+	c.Check(suspectsSeen("b", "a"), qt.DeepEquals, crashed)
 
-	// What is told anew goes before what an earlier process told of the same request.
+	// A suspect that the new process reports replaces the inherited one for the same
+	// request.
 	deliver(now, cores, "a", cores["a"].SetSuspects([]presence.Suspect{{Fingerprint: 7, Until: 5_000_000}, {Fingerprint: 9, Crashes: 1, Until: 4_000_000}}))
 	want := []presence.Suspect{{Fingerprint: 7, Until: 5_000_000}, {Fingerprint: 8, Crashes: 1, Until: 4_000_000}, {Fingerprint: 9, Crashes: 1, Until: 4_000_000}}
-	c.Check(told("b", "a"), qt.DeepEquals, want)
+	c.Check(suspectsSeen("b", "a"), qt.DeepEquals, want)
 }
--- a/internal/process/presence/suspect.go
+++ b/internal/process/presence/suspect.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// MaxSuspects bounds the suspects that one record carries.
+// MaxSuspects is the maximum number of suspects in a record.
 const MaxSuspects = 32
 
 // Suspect is a request that was in progress when a backend server crashed.
 type Suspect struct {
-	// Fingerprint identifies the request's content.
+	// Fingerprint identifies the content of the request.
 	Fingerprint uint64
-	// Crashes is how many crashes the owner saw with it in progress.
+	// Crashes is the number of crashes that the owner saw while the request was in
+	// progress.
 	Crashes uint8
-	// Until is when the suspicion ends, in Unix milliseconds.
+	// Until is when the suspicion expires, in Unix milliseconds.
 	Until int64
-	// Told is set when the owner did not see the crash itself.
+	// Told is set if the owner did not see the crash itself.
 	Told bool
 }
 
-// addSuspects returns suspects with those of more that are of other requests.
-func addSuspects(suspects, more []Suspect) []Suspect {
+// mergeSuspects returns suspects and those of more whose requests are not in suspects.
+func mergeSuspects(suspects, more []Suspect) []Suspect {
 	all := slices.Clone(suspects)
 	for _, s := range more {
 		if !slices.ContainsFunc(all, func(o Suspect) bool { return o.Fingerprint == s.Fingerprint }) {
@@ -31,9 +32,9 @@
 	return all
 }
 
-// boundSuspects returns a copy, ordered by fingerprint, of the MaxSuspects that
-// last longest.
-func boundSuspects(suspects []Suspect) []Suspect {
+// limitSuspects returns a copy with the MaxSuspects suspects that expire last, sorted
+// by fingerprint.
+func limitSuspects(suspects []Suspect) []Suspect {
 	kept := slices.Clone(suspects)
 	slices.SortFunc(kept, func(a, b Suspect) int {
 		return cmp.Or(cmp.Compare(b.Until, a.Until), cmp.Compare(a.Fingerprint, b.Fingerprint))
--- a/internal/process/presence/suspicion.go
+++ b/internal/process/presence/suspicion.go
@@ -9,8 +9,7 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// Suspect begins the suspicion of the daemon named; it has SuspectFor to
-// refute.
+// Suspect starts the suspicion of the named daemon, which has SuspectFor to refute it.
 func (c *Core) Suspect(now time.Time, name string) []Action {
 	e := c.table.entries[IDOf(name)]
 	if e == nil || e.state != alive || name == c.cfg.Self.Name {
@@ -19,18 +18,18 @@
 	return c.suspect(now, e.stamp, "")
 }
 
-// suspect marks an alive entry that is not newer than s and passes the
-// suspicion on.
+// suspect marks an alive entry as suspected, unless it is newer than s, and broadcasts
+// the suspicion.
 func (c *Core) suspect(now time.Time, s Stamp, from string) []Action {
 	e := c.table.entries[s.ID]
 	if e == nil || e.state != alive || e.suspected || e.stamp.newer(s) {
 		return nil
 	}
 	if s.newer(e.stamp) {
-		c.table.restamp(e, s)
+		c.table.setStamp(e, s)
 	}
 	e.suspected, e.since = true, now
-	c.suspects[s.ID] = true
+	c.suspectedIDs[s.ID] = true
 	return c.broadcast(Message{Type: MsgSuspect, Claims: []Claim{{Stamp: s}}}, from)
 }
 
@@ -50,7 +49,7 @@
 		return c.refute(now, from, s)
 	case e == nil:
 		if claim.Age > 0 {
-			c.table.bury(now.Add(-time.Duration(claim.Age)*time.Second), s)
+			c.table.addTombstone(now.Add(-time.Duration(claim.Age)*time.Second), s)
 		}
 	case e.state == alive && e.stamp.newer(s):
 		return []Action{c.send(from, Message{Type: MsgRefute, Stamps: []Stamp{e.stamp}})}
@@ -62,102 +61,103 @@
 	return nil
 }
 
-// refute answers a claim that this daemon is gone.
+// refute replies to a claim that this daemon has failed.
 func (c *Core) refute(now time.Time, from string, s Stamp) []Action {
 	if c.self.stamp().newer(s) {
 		return []Action{c.send(from, Message{Type: MsgRefute, Stamps: []Stamp{c.self.stamp()}})}
 	}
 	if !s.sameContent(c.self.stamp()) {
-		return c.sawSelf(now, s, nil)
+		return c.supersede(now, s, nil)
 	}
 	c.self.Life = s.Life + 1
 	c.storeSelf()
 	return c.broadcast(Message{Type: MsgRefute, Stamps: []Stamp{c.self.stamp()}}, "")
 }
 
-// receiveRefutes revives what it can; content that is not known is asked for.
+// receiveRefutes revives entries whose content is known and requests the content of
+// the others.
 func (c *Core) receiveRefutes(now time.Time, from string, stamps []Stamp) []Action {
 	var actions []Action
-	var news []Stamp
+	var refutations []Stamp
 	var want []ID
 	for _, s := range stamps {
 		e := c.table.entries[s.ID]
 		switch {
 		case s.ID == c.id:
-			actions = append(actions, c.sawSelf(now, s, nil)...)
+			actions = append(actions, c.supersede(now, s, nil)...)
 		case e != nil && s == e.stamp:
-			c.news.seen(s.ID, from)
+			c.updates.markKnown(s.ID, from)
 		case e != nil && !s.newer(e.stamp):
 		case e == nil || e.record == nil || !s.sameContent(e.record.stamp()):
 			want = append(want, s.ID)
 		default:
 			if e.state == alive {
-				news = append(news, s)
+				refutations = append(refutations, s)
 			} else {
-				c.news.hold(s.ID, from, true)
+				c.updates.add(s.ID, from, true)
 			}
-			c.sawAlive(now, s)
+			c.noteNewerStamp(now, s)
 			actions = append(actions, c.revive(e, s)...)
 		}
 	}
 	if len(want) > 0 {
 		actions = append(actions, c.send(from, Message{Type: MsgWant, Want: want}))
 	}
-	if len(news) == 0 {
+	if len(refutations) == 0 {
 		return actions
 	}
-	return append(actions, c.broadcast(Message{Type: MsgRefute, Stamps: news}, from)...)
+	return append(actions, c.broadcast(Message{Type: MsgRefute, Stamps: refutations}, from)...)
 }
 
-// revive makes an entry alive with the content that it has.
+// revive makes an entry alive with the content it has.
 func (c *Core) revive(e *entry, s Stamp) []Action {
-	delete(c.suspects, s.ID)
+	delete(c.suspectedIDs, s.ID)
 	if e.state == alive {
 		e.suspected = false
-		c.table.restamp(e, s)
+		c.table.setStamp(e, s)
 		return nil
 	}
 	return []Action{{Change: c.table.set(e.record, s)}}
 }
 
-// expire drops the suspects whose time is over. A daemon without links drops
-// nobody: it is the one that was cut off.
+// expire drops suspected daemons whose time to refute has expired. A daemon without
+// links drops none, because it was probably cut off itself.
 func (c *Core) expire(now time.Time) []Action {
 	if len(c.links) == 0 {
 		return nil
 	}
-	c.forgetOld(now)
-	if len(c.suspects) == 0 {
+	c.forgetTombstones(now)
+	if len(c.suspectedIDs) == 0 {
 		return nil
 	}
 	var actions []Action
-	for _, id := range slices.SortedFunc(maps.Keys(c.suspects), cmp.Compare[ID]) {
+	for _, id := range slices.SortedFunc(maps.Keys(c.suspectedIDs), cmp.Compare[ID]) {
 		if now.Sub(c.table.entries[id].since) <= c.cfg.SuspectFor {
 			continue
 		}
-		delete(c.suspects, id)
-		actions = append(actions, Action{Change: c.table.drop(now, id, gone)})
+		delete(c.suspectedIDs, id)
+		actions = append(actions, Action{Change: c.table.drop(now, id, dropped)})
 	}
 	return actions
 }
 
-// clearSuspicions forgets what a daemon without links suspected: nobody could
-// refute.
+// clearSuspicions cancels the suspicions of a daemon that had no links, since nobody
+// could refute them.
 func (c *Core) clearSuspicions() {
-	for id := range c.suspects {
+	for id := range c.suspectedIDs {
 		c.table.entries[id].suspected = false
 	}
-	clear(c.suspects)
+	clear(c.suspectedIDs)
 }
 
-// forgetShare is the share of ForgetAfter between two looks for old tombstones.
-const forgetShare = 16
+// forgetScansPerPeriod is the number of scans for expired tombstones per ForgetAfter.
+const forgetScansPerPeriod = 16
 
-func (c *Core) forgetOld(now time.Time) {
-	if now.Before(c.forgetNext) {
+func (c *Core) forgetTombstones(now time.Time) {
+	if now.Before(c.nextForget) {
 		return
 	}
-	c.forgetNext = now.Add(c.cfg.ForgetAfter / forgetShare)
+	c.nextForget = now.Add(c.cfg.ForgetAfter / forgetScansPerPeriod)
 	for id, e := range c.table.entries {
 		if e.state != alive && now.Sub(e.since) > c.cfg.ForgetAfter {
 			c.table.forget(id)
@@ -165,35 +165,36 @@
 	}
 }
 
-// cutOffShare is the share of all records, 1 in so many, above which a daemon
-// that dropped them takes itself for the one that was cut off.
-const cutOffShare = 3
+// cutOffFraction defines when a daemon assumes that it was cut off itself: if it
+// dropped more than 1 in cutOffFraction of all records.
+const cutOffFraction = 3
 
-// sawAlive takes note of a newer stamp of the same incarnation as a tombstone:
-// that daemon was alive all along.
-func (c *Core) sawAlive(now time.Time, s Stamp) {
+// noteNewerStamp handles a stamp that is newer than a tombstone of the same
+// incarnation: that daemon was alive all the time.
+func (c *Core) noteNewerStamp(now time.Time, s Stamp) {
 	e := c.table.entries[s.ID]
-	if e != nil && e.state == gone && s.newer(e.stamp) && s.Incarnation == e.stamp.Incarnation {
-		c.forgive(now)
+	if e != nil && e.state == dropped && s.newer(e.stamp) && s.Incarnation == e.stamp.Incarnation {
+		c.makeTombstonesDormant(now)
 	}
 }
 
-// heard takes note of a neighbour that speaks although its record was dropped.
-// A new process of it would have sent its own record first.
-func (c *Core) heard(now time.Time, from string) {
-	if e := c.table.entries[IDOf(from)]; e != nil && e.state == gone {
-		c.forgive(now)
+// noteNeighbourAlive handles a message from a neighbour whose record was dropped. It is
+// not a new process, which would have sent its own record first.
+func (c *Core) noteNeighbourAlive(now time.Time, from string) {
+	if e := c.table.entries[IDOf(from)]; e != nil && e.state == dropped {
+		c.makeTombstonesDormant(now)
 	}
 }
 
-// forgive makes all tombstones dormant when so many were dropped that this
-// daemon's side was the one cut off; the neighbours' word then counts.
-func (c *Core) forgive(now time.Time) {
-	if !c.cutOff() {
+// makeTombstonesDormant makes all tombstones dormant if so many records were dropped
+// that this daemon was probably cut off. The records then become alive again as soon
+// as a neighbour reports them.
+func (c *Core) makeTombstonesDormant(now time.Time) {
+	if !c.likelyCutOff() {
 		return
 	}
 	for id, e := range c.table.entries {
-		if e.state != gone {
+		if e.state != dropped {
 			continue
 		}
 		c.table.drop(now, id, dormant)
@@ -201,42 +202,44 @@
 	c.pull = pull{}
 }
 
-func (c *Core) cutOff() bool {
-	return c.table.dropped*cutOffShare > c.table.dropped+len(c.table.alive)
+func (c *Core) likelyCutOff() bool {
+	return c.table.tombstones*cutOffFraction > c.table.tombstones+len(c.table.alive)
 }
 
-// dropTime is how long the news of a death may take to reach everyone.
-const dropTime = 10 * time.Second
+// dropPropagationTime is how long the information about a failure may take to reach
+// all daemons.
+const dropPropagationTime = 10 * time.Second
 
-// contradict takes note of a neighbour that counts a record dropped here long
-// ago.
-func (c *Core) contradict(now time.Time, e *entry) {
-	if e != nil && e.state == gone && now.Sub(e.since) > dropTime {
-		c.forgive(now)
+// noteContradiction handles a record that is alive on a neighbour but was dropped here
+// longer than dropPropagationTime ago.
+func (c *Core) noteContradiction(now time.Time, e *entry) {
+	if e != nil && e.state == dropped && now.Sub(e.since) > dropPropagationTime {
+		c.makeTombstonesDormant(now)
 	}
 }
 
-// takeover is the record of this daemon's attempts to go above records of its
-// own name that it did not write.
+// takeover counts the attempts of this daemon to supersede records under its own name
+// that it did not write.
 type takeover struct {
 	count int
 	last  time.Time
 }
 
 const (
-	// takeoverWindow is how long attempts are counted together.
+	// takeoverWindow is the time without attempts after which the count starts again.
 	takeoverWindow = time.Minute
-	// takeoverFree attempts are made at once: an earlier process of this daemon
-	// may have left several records. More mean that another process is alive
-	// under the same name.
-	takeoverFree = 3
-	// takeoverPause is the time between further attempts.
-	takeoverPause = 10 * time.Second
+	// maxImmediateTakeovers is the number of attempts that are made at once. An
+	// earlier process of this daemon may have left several records; more attempts mean
+	// that another process is alive under the same name.
+	maxImmediateTakeovers = 3
+	// takeoverInterval is the minimum time between further attempts.
+	takeoverInterval = 10 * time.Second
 )
 
-// sawSelf handles a record of this daemon's name that it did not write: an
-// earlier process with a higher clock, or another process with the same name.
-func (c *Core) sawSelf(now time.Time, s Stamp, node *view.Node) []Action {
+// supersede handles a record under the name of this daemon that it did not write: one
+// of an earlier process with a higher clock, or of another process with the same name.
+// It raises its own incarnation above it.
+func (c *Core) supersede(now time.Time, s Stamp, node *view.Node) []Action {
 	if !s.newer(c.self.stamp()) {
 		return nil
 	}
@@ -244,21 +247,21 @@
 	if now.Sub(t.last) > takeoverWindow {
 		t.count = 0
 	}
-	if t.count >= takeoverFree && now.Sub(t.last) < takeoverPause {
+	if t.count >= maxImmediateTakeovers && now.Sub(t.last) < takeoverInterval {
 		return nil
 	}
 	t.count++
 	t.last = now
 	var actions []Action
-	if t.count > takeoverFree {
-		actions = append(actions, Action{Conflict: c.twin(node)})
+	if t.count > maxImmediateTakeovers {
+		actions = append(actions, Action{Conflict: c.conflictingNode(node)})
 	}
 	c.self.Incarnation = s.Incarnation + 1
 	c.self.Seq = 0
-	return append(actions, c.renew()...)
+	return append(actions, c.publishSelf()...)
 }
 
-func (c *Core) twin(node *view.Node) *view.Node {
+func (c *Core) conflictingNode(node *view.Node) *view.Node {
 	if node != nil {
 		return node
 	}
--- a/internal/process/presence/table.go
+++ b/internal/process/presence/table.go
@@ -6,137 +6,137 @@
 	"time"
 )
 
-// state tells whether an entry's record counts.
+// state is the state of an entry.
 type state uint8
 
 const (
-	// alive records count.
+	// alive means that the record is valid.
 	alive state = iota
-	// gone records were dropped; the entry is a tombstone.
-	gone
-	// dormant records were dropped by a daemon that was itself cut off: they
-	// count again as soon as anyone says that they are alive.
+	// dropped means that the record was dropped; the entry is a tombstone.
+	dropped
+	// dormant means that the record was dropped by a daemon that was cut off itself.
+	// It becomes alive again as soon as any daemon reports it as alive.
 	dormant
 )
 
-// entry is what is known of one daemon.
+// entry is what is known about one daemon.
 type entry struct {
 	// record is nil in a tombstone without content.
 	record *Record
-	// stamp is the newest known; its Life may be above the record's.
+	// stamp is the newest known stamp; its Life may be higher than that of the record.
 	stamp Stamp
 	state state
 	// suspected is set while an alive entry waits for a refutation.
 	suspected bool
-	// since is when the suspicion began or the record was dropped.
+	// since is when the suspicion started or the record was dropped.
 	since time.Time
-	// place is the index in table.alive; -1 unless alive.
-	place int
+	// aliveIndex is the index in table.alive; -1 if the entry is not alive.
+	aliveIndex int
 }
 
-// table holds all entries, the list of those alive, and the digest tree over
+// table contains all entries, the list of alive records, and the digest tree over
 // them.
 type table struct {
 	entries map[ID]*entry
-	// alive are the records that count, in no order.
+	// alive are the alive records, in no particular order.
 	alive []*Record
-	// members are the IDs of all entries, by leaf.
-	members [leaves][]ID
-	tree    tree
-	// dropped is the number of tombstones.
-	dropped int
+	// idsByLeaf are the IDs of all entries, by leaf of the digest tree.
+	idsByLeaf [leaves][]ID
+	tree      tree
+	// tombstones is the number of tombstones.
+	tombstones int
 }
 
 func newTable() *table { return &table{entries: map[ID]*entry{}} }
 
-// set makes an entry alive with a record and stamp, and returns the change.
+// set makes an entry alive with a record and a stamp, and returns the change.
 func (t *table) set(r *Record, s Stamp) *Change {
 	e := t.entries[s.ID]
 	if e == nil {
 		e = t.add(s.ID)
 	}
-	change := &Change{Old: e.counted(), New: r}
-	t.leave(s.ID, e)
+	change := &Change{Old: e.aliveRecord(), New: r}
+	t.detach(s.ID, e)
 	e.record, e.stamp, e.state, e.suspected = r, s, alive, false
-	e.place = len(t.alive)
+	e.aliveIndex = len(t.alive)
 	t.alive = append(t.alive, r)
 	t.tree.toggle(s)
 	return change
 }
 
 func (t *table) add(id ID) *entry {
-	e := &entry{place: -1, state: dormant}
+	e := &entry{aliveIndex: -1, state: dormant}
 	t.entries[id] = e
-	t.members[leafOf(id)] = append(t.members[leafOf(id)], id)
+	t.idsByLeaf[leafOf(id)] = append(t.idsByLeaf[leafOf(id)], id)
 	return e
 }
 
-// bury adds a tombstone for a daemon that is not known.
-func (t *table) bury(since time.Time, s Stamp) {
+// addTombstone adds a tombstone for an unknown daemon.
+func (t *table) addTombstone(since time.Time, s Stamp) {
 	e := t.add(s.ID)
-	e.stamp, e.state, e.since = s, gone, since
-	t.dropped++
+	e.stamp, e.state, e.since = s, dropped, since
+	t.tombstones++
 }
 
-// drop makes an entry a tombstone or dormant.
+// drop changes the state of an entry to dropped or dormant and returns the change.
 func (t *table) drop(now time.Time, id ID, to state) *Change {
 	e := t.entries[id]
-	change := &Change{Old: e.counted()}
-	t.leave(id, e)
+	change := &Change{Old: e.aliveRecord()}
+	t.detach(id, e)
 	e.state, e.suspected, e.since = to, false, now
-	if to == gone {
-		t.dropped++
+	if to == dropped {
+		t.tombstones++
 	}
 	return change
 }
 
-// leave takes an entry out of whatever its state put it in.
-func (t *table) leave(id ID, e *entry) {
-	if e.state == gone {
-		t.dropped--
+// detach removes an entry from the structures that depend on its state.
+func (t *table) detach(id ID, e *entry) {
+	if e.state == dropped {
+		t.tombstones--
 	}
-	if e.place < 0 {
+	if e.aliveIndex < 0 {
 		return
 	}
 	t.tree.toggle(e.stamp)
 	last := t.alive[len(t.alive)-1]
-	t.alive[e.place] = last
-	t.entries[IDOf(last.Node.Name)].place = e.place
+	t.alive[e.aliveIndex] = last
+	t.entries[IDOf(last.Node.Name)].aliveIndex = e.aliveIndex
 	t.alive[len(t.alive)-1] = nil
 	t.alive = t.alive[:len(t.alive)-1]
-	e.place = -1
+	e.aliveIndex = -1
 }
 
-// restamp raises the stamp of an alive entry.
-func (t *table) restamp(e *entry, s Stamp) {
+// setStamp raises the stamp of an alive entry.
+func (t *table) setStamp(e *entry, s Stamp) {
 	t.tree.toggle(e.stamp)
 	e.stamp = s
 	t.tree.toggle(s)
 }
 
 func (t *table) forget(id ID) {
-	t.leave(id, t.entries[id])
+	t.detach(id, t.entries[id])
 	delete(t.entries, id)
-	leaf := &t.members[leafOf(id)]
+	leaf := &t.idsByLeaf[leafOf(id)]
 	*leaf = slices.DeleteFunc(*leaf, func(o ID) bool { return o == id })
 }
 
-// counted returns the record while it counts.
-func (e *entry) counted() *Record {
+// aliveRecord returns the record if the entry is alive, or nil.
+func (e *entry) aliveRecord() *Record {
 	if e.state == alive {
 		return e.record
 	}
 	return nil
 }
 
-// current returns a copy of the record with the newest stamp.
-func (e *entry) current() Record {
+// currentRecord returns a copy of the record with the newest stamp.
+func (e *entry) currentRecord() Record {
 	r := *e.record
 	r.Life = e.stamp.Life
 	return r
 }
 
-// pick returns a random alive entry; nil when there is none.
+// pick returns a random alive entry, or nil if there is none.
 func (t *table) pick(r *rand.Rand) *entry {
 	if len(t.alive) == 0 {
 		return nil
@@ -144,10 +144,10 @@
 	return t.entries[IDOf(t.alive[r.IntN(len(t.alive))].Node.Name)]
 }
 
-// pickTries bounds the search of pickWhere.
+// pickTries is the number of tries of pickWhere.
 const pickTries = 64
 
-// pickWhere returns a random alive entry that fits; nil when a few tries find
+// pickWhere returns a random alive entry that matches, or nil if pickTries tries find
 // none.
 func (t *table) pickWhere(r *rand.Rand, fits func(*Record) bool) *entry {
 	for range pickTries {
