--- a/internal/process/replica/core_test.go
+++ b/internal/process/replica/core_test.go
@@ -55,16 +55,16 @@
 		Membership: Membership{Disk: 1, Voting: true, Voters: voters},
 		Entries:    []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}},
 	})
-	from := func(m Message) {
+	receive := func(m Message) {
 		m.From, m.To, m.Term, m.Disk, m.Voting, m.Group = "b", "a", 1, 2, true, groupHash(members)
 		core.Step(m)
 		core.Advance(core.Ready())
 	}
-	from(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 2, Term: 1, Voters: voters}})
+	receive(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 2, Term: 1, Voters: voters}})
 	c.Check(core.Last(), qt.Equals, uint64(3))
 	c.Check(core.Commit(), qt.Equals, uint64(2))
 	// A snapshot with another term at that index replaces the whole log.
-	from(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 3, Term: 2, Voters: voters}})
+	receive(Message{Type: MsgSnapshot, Snapshot: &Snapshot{Index: 3, Term: 2, Voters: voters}})
 	c.Check(core.Last(), qt.Equals, uint64(3))
 	c.Check(core.SnapshotIndex(), qt.Equals, uint64(3))
 }
--- a/internal/process/replica/replace.go
+++ b/internal/process/replica/replace.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// A member that is permanently lost is replaced by a newcomer, which has another name,
-// in the same way as a lost disk by a new one (membership.go). The newcomer probes the
-// members. The leader sends it the log as to a learner. Once the newcomer has caught
-// up and a voter has been silent for ReplaceTicks, the leader appends a voter list in
-// which the newcomer takes the place of that voter.
+// A newcomer is a member without a vote that the group does not know. A member that is
+// permanently lost is replaced by a newcomer with another name in the same way as a
+// lost disk by a new one (membership.go). The newcomer probes the members, and the
+// leader sends it the log as to a learner. Once the newcomer has caught up and a voter
+// has been silent for ReplaceTicks, the leader appends a voter list with the newcomer
+// instead of that voter.
 //
 // A group that is smaller than configured admits newcomers without removing a voter.
 // It adds one voter at a time, so that any majority of the old list and any majority
--- a/internal/process/view/tick.go
+++ b/internal/process/view/tick.go
@@ -4,8 +4,8 @@
 
 const (
 	// seedInterval is the minimum time between joins to a seed while there are links.
-	// seedIntervalPerNode is added for each known daemon, so that the whole fleet
-	// sends about one such join per seedIntervalPerNode.
+	// On average, seedIntervalPerNode is added for each known daemon, so that the
+	// whole fleet sends about one such join per seedIntervalPerNode.
 	seedInterval        = 30 * time.Second
 	seedIntervalPerNode = 10 * time.Second
 )
--- a/internal/process/view/view.go
+++ b/internal/process/view/view.go
@@ -212,8 +212,10 @@
 	return append(append(actions, accept), c.addLink(now, from)...)
 }
 
-// reportConflict reports a node with another address under the name of a link, once
-// the link has lasted longer than it would take an earlier process to fall silent.
+// reportConflict reports a node that requests a link under the name of a linked node
+// but from another address. It does so only if the link still exists cfg.Silence after
+// the first such request: a link to an earlier process would have fallen silent by
+// then.
 func (c *Core) reportConflict(now time.Time, l *link, from Node) []Action {
 	if l.conflictSince.IsZero() {
 		l.conflictSince = now
