--- a/internal/process/daemon/announced.go
+++ b/internal/process/daemon/announced.go
@@ -8,34 +8,36 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// The messages of the log about announcements.
+// Log messages about announcements.
 const (
 	logAnnouncementRefused = "announcement refused"
-	logAnnouncementPassed  = "announcement passed over"
-	logMisdirected         = "another boot answered than the one announced"
-	logOrigin              = "origin of requests that begin here"
+	logAnnouncementIgnored = "announcement passed over"
+	logBootMismatch        = "another boot answered than the one announced"
+	logOrigin              = "service recorded as the origin of requests that start at this instance"
 )
 
-// refuseForeign refuses, on a platform, an announcement that is not of the backend server
-// which the settings name. Where they name none, a manifest in force must name its service.
-func (d *Daemon) refuseForeign(a *announce.Announcement) *result.Error {
+// checkAnnouncement rejects, on a platform, an announcement that does not match the backend
+// server named in the settings. If the settings name none, the announced service must be in a
+// manifest that is in force.
+func (d *Daemon) checkAnnouncement(a *announce.Announcement) *result.Error {
 	if d.platform == nil {
 		return nil
 	}
-	want := d.intended.Load()
+	want := d.configuredServer.Load()
 	key := snapshot.ServiceKey{Mesh: a.Mesh, Name: a.Service}
 	switch {
 	case want.Addr != "" && !sameAddr(a.Address, want.Addr):
-		return result.Errorf(result.AnnounceForeign, "address: the server beside is at %s, got %s", want.Addr, a.Address)
+		return result.Errorf(result.AnnounceForeign, "address: the settings place the local backend server at %s, got %s", want.Addr, a.Address)
 	case want.Service != "" && key != snapshot.ServiceKey{Mesh: want.Mesh, Name: want.Service}:
-		return result.Errorf(result.AnnounceForeign, "service: the server beside is of %s, got %s", want.Service, a.Service)
+		return result.Errorf(result.AnnounceForeign, "service: the settings name service %s for the local backend server, got %s", want.Service, a.Service)
 	case want.Service == "" && d.Ready() && d.Directory().Snapshot.Service(key) == nil:
-		return result.Errorf(result.AnnounceForeign, "service: no manifest names %s", key)
+		return result.Errorf(result.AnnounceForeign, "service: no manifest in force contains %s", key)
 	}
 	return nil
 }
 
-// sameAddr reports whether two texts name the same "ip:port".
+// sameAddr reports whether a and b denote the same "ip:port". An IPv4 address equals its
+// IPv4-mapped IPv6 form.
 func sameAddr(a, b string) bool {
 	x, err := netip.ParseAddrPort(a)
 	if err != nil {
@@ -45,14 +47,16 @@
 	return err == nil && x.Port() == y.Port() && x.Addr().Unmap() == y.Addr().Unmap()
 }
 
-// misdirected takes in that another boot answered at the address of a server beside.
-func (d *Daemon) misdirected(addr, boot string) {
-	d.log.Info(logMisdirected, "server", addr, "boot", boot)
+// handleBootMismatch records that a different boot than the announced one answered at the
+// address of a local backend server.
+func (d *Daemon) handleBootMismatch(addr, boot string) {
+	d.log.Info(logBootMismatch, "server", addr, "boot", boot)
 	d.servers.Misdirected(addr, boot)
 }
 
-// metAnnouncement counts what became of an announcement, and tells of one that had no effect.
-func (d *Daemon) metAnnouncement(a *announce.Announcement, v announce.Verdict, refused *result.Error) {
+// observeAnnouncement counts an announcement by its verdict and logs it if it was refused or
+// ignored.
+func (d *Daemon) observeAnnouncement(a *announce.Announcement, v announce.Verdict, refused *result.Error) {
 	d.metrics.Announced(v.String())
 	values := []any{
 		"server", a.Address, "service", a.Service, "boot", a.Boot, "started", a.Started,
@@ -62,15 +66,16 @@
 	case refused != nil:
 		d.log.Info(logAnnouncementRefused, append(values, "result", refused.Code.String(), "detail", refused.Detail)...)
 	case v.PassedOver():
-		d.log.Info(logAnnouncementPassed, append(values, "why", v.String())...)
+		d.log.Info(logAnnouncementIgnored, append(values, "why", v.String())...)
 	}
 }
 
-// logOrigin tells which service the requests that begin at this instance are said to come
-// from, and who named it, once for each change. The caller holds the lock of the drains.
-func (d *Daemon) logOrigin() {
+// logOriginChange logs each change of the service that is recorded as the origin of requests
+// that start at this instance, and whether the settings or an announcement named it. The
+// caller must hold d.drains.mu.
+func (d *Daemon) logOriginChange() {
 	service, by := d.origin(), "announcement"
-	if d.intended.Load().Service != "" {
+	if d.configuredServer.Load().Service != "" {
 		by = "settings"
 	}
 	if service == d.drains.origin {
--- a/internal/process/daemon/beside.go
+++ b/internal/process/daemon/beside.go
@@ -11,64 +11,67 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// The questions to the backend server beside a daemon that was restarted.
+// Limits of the health checks that find the local backend server after a restart of the daemon.
 const (
-	// besidePoll is how often it is looked whether the question can be put, and
-	// besideTries how many are put: each takes a slot of the server for a moment.
-	besidePoll  = 50 * time.Millisecond
-	besideTries = 3
-	// besideTimeout bounds one of them.
-	besideTimeout = 500 * time.Millisecond
-	// besideUntil is when the server has announced itself in any case.
-	besideUntil = 3 * time.Second
-	healthBytes = 4 << 10
+	// probePollInterval is the time between checks whether a probe can be sent.
+	probePollInterval = 50 * time.Millisecond
+	// probeMaxAttempts is the maximum number of probes. Each occupies a slot of the server for
+	// a moment.
+	probeMaxAttempts = 3
+	// probeTimeout is the timeout of one probe.
+	probeTimeout = 500 * time.Millisecond
+	// probeDeadline is when probing ends. By then the server has announced itself in any case.
+	probeDeadline = 3 * time.Second
+	// maxHealthBodyBytes is how much of the body of a health check response is read.
+	maxHealthBodyBytes = 4 << 10
 )
 
-// askBeside finds the backend server beside a daemon that was restarted, ahead of the
-// server's next announcement: after all daemons were killed, much of the service's room is
-// back sooner by it.
-func (d *Daemon) askBeside(ctx context.Context) {
-	beside := *d.intended.Load()
-	if d.platform == nil || d.set.Source.Found || beside.Addr == "" {
+// probeLocalServer finds the local backend server after a restart of the daemon, before the
+// server's next announcement. After all daemons of a fleet were killed, much of a service's
+// capacity is available sooner this way.
+func (d *Daemon) probeLocalServer(ctx context.Context) {
+	server := *d.configuredServer.Load()
+	if d.platform == nil || d.settings.Source.Found || server.Addr == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, besideUntil)
+	ctx, cancel := context.WithTimeout(ctx, probeDeadline)
 	defer cancel()
-	ticker := time.NewTicker(besidePoll)
+	ticker := time.NewTicker(probePollInterval)
 	defer ticker.Stop()
-	for tries := 0; tries < besideTries; {
+	for attempts := 0; attempts < probeMaxAttempts; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if d.beside.Load() != nil {
+		if d.announcedService.Load() != nil {
 			return
 		}
 		snap := d.mesh.Directory().Snapshot
-		key := snapshot.ServiceKey{Mesh: beside.Mesh, Name: beside.Service}
+		key := snapshot.ServiceKey{Mesh: server.Mesh, Name: server.Service}
 		service := snap.Service(key)
 		if service == nil || service.Health == "" {
 			continue
 		}
-		version, sure := d.versionBeside(snap.Rollout(key))
-		if !sure {
+		version, known := d.localServerVersion(snap.Rollout(key))
+		if !known {
 			continue
 		}
-		tries++
-		if health, ok := d.askHealth(ctx, beside.Addr, service.Health); ok {
-			d.takeHealth(beside, health, version)
+		attempts++
+		if health, ok := d.checkHealth(ctx, server.Addr, service.Health); ok {
+			d.announceHealthy(server, health, version)
 			return
 		}
 	}
 }
 
-// versionBeside is the software version that a server beside this daemon must have which
-// has not announced itself yet. Where another version may be about, the answer of its
-// health check does not tell which of them it is, and it is left to its announcement.
-func (d *Daemon) versionBeside(r *fleet.Rollout) (version string, sure bool) {
+// localServerVersion returns the software version that the local backend server must have
+// before it has announced itself. known is false while servers of another version may be
+// running: the health check does not reveal the version, so the daemon waits for the
+// announcement.
+func (d *Daemon) localServerVersion(r *fleet.Rollout) (version string, known bool) {
 	switch {
-	case !d.set.Servers.Rollouts:
+	case !d.settings.Servers.Rollouts:
 		return "", true
 	case r == nil || !d.Ready():
 		return "", false
@@ -76,9 +79,10 @@
 	return r.Serving(), r.Stage == fleet.Admitted || r.Stage == fleet.Completed
 }
 
-// askHealth asks a backend server whether it takes work.
-func (d *Daemon) askHealth(ctx context.Context, addr, path string) (Health, bool) {
-	ctx, cancel := context.WithTimeout(ctx, besideTimeout)
+// checkHealth sends a health check to a backend server and reports whether the server accepts
+// requests.
+func (d *Daemon) checkHealth(ctx context.Context, addr, path string) (Health, bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -87,27 +91,27 @@
 	r.Close = true
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		d.log.V(1).Info("backend server beside does not answer", "server", addr, "error", err.Error())
+		d.log.V(1).Info("health check of the local backend server failed", "server", addr, "error", err.Error())
 		return Health{}, false
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, healthBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBodyBytes))
 	_ = resp.Body.Close()
 	return d.platform.Healthy(resp.StatusCode, resp.Header)
 }
 
-// takeHealth announces the server in its own place, unless it did so itself
-// meanwhile.
-func (d *Daemon) takeHealth(beside Beside, h Health, version string) {
-	if d.beside.Load() != nil {
+// announceHealthy announces the server on its behalf, unless it has announced itself in the
+// meantime.
+func (d *Daemon) announceHealthy(server Beside, h Health, version string) {
+	if d.announcedService.Load() != nil {
 		return
 	}
 	refused := d.servers.Announce(announce.Announcement{
-		Mesh: beside.Mesh, Service: beside.Service, Version: version, Address: beside.Addr, Slots: h.Slots,
-		Connections: announce.MaxCapacity, LeaseSeconds: beside.LeaseSeconds, Boot: h.Boot,
+		Mesh: server.Mesh, Service: server.Service, Version: version, Address: server.Addr, Slots: h.Slots,
+		Connections: announce.MaxCapacity, LeaseSeconds: server.LeaseSeconds, Boot: h.Boot,
 	})
 	if refused != nil {
-		d.log.Error(refused, "backend server beside not taken in", "server", beside.Addr)
+		d.log.Error(refused, "local backend server not added after its health check", "server", server.Addr)
 		return
 	}
-	d.log.Info("backend server beside found by its health", "server", beside.Addr, "boot", h.Boot, "slots", h.Slots)
+	d.log.Info("local backend server found by health check", "server", server.Addr, "boot", h.Boot, "slots", h.Slots)
 }
--- a/internal/process/daemon/claims.go
+++ b/internal/process/daemon/claims.go
@@ -21,7 +21,7 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// The names of the methods of the claims' group.
+// RPC methods of the claims group.
 const (
 	claimsDeliver = "Claims.Deliver"
 	claimsPropose = "Claims.Propose"
@@ -30,70 +30,72 @@
 )
 
 const (
-	// claimWait is how long a source waits for a leader before it gives up:
-	// while none is known, and from when the leader's address refuses.
-	claimWait = 100 * time.Millisecond
-	// peekServe bounds a look at this source's table.
-	peekServe = 500 * time.Millisecond
-	// claimServe bounds a command that another source passed on.
-	claimServe = 2 * time.Second
-	// flushTimeout bounds the wait for ends to be recorded at a planned stop.
+	// claimLeaderWait is how long a source waits for a leader: while none is known, and after
+	// the leader's address refused a connection.
+	claimLeaderWait = 100 * time.Millisecond
+	// claimPeekTimeout is the timeout of a read of this source's table.
+	claimPeekTimeout = 500 * time.Millisecond
+	// claimCommandTimeout is the timeout of a command, including one forwarded by another
+	// source.
+	claimCommandTimeout = 2 * time.Second
+	// flushTimeout is how long a planned stop waits until the outcomes of finished requests
+	// are recorded.
 	flushTimeout = 5 * time.Second
 )
 
-// ClaimResult answers Claims.Do.
+// ClaimResult is the reply of Claims.Do.
 type ClaimResult struct {
-	// Code is OK with a Reply, or why there is none.
+	// Code is OK if Reply is valid, else the reason why there is no reply.
 	Code   result.Code
 	Detail string
 	Reply  once.Reply
-	// Lead is the source that leads the group, or "".
+	// Lead is the name of the group's leader, "" if it is not known.
 	Lead string
 }
 
-// claimSide is a daemon's part in at most once: its client of the table, and on
-// a source the replica of the table.
-type claimSide struct {
+// claimManager implements at-most-once execution on a daemon. It is a client of the
+// replicated claims table and, on a source, holds a replica of that table.
+type claimManager struct {
 	d        *Daemon
 	once     *gateway.Once
 	messages *peer.Outbox[replica.Message]
 	suspects *gateway.Quarantine
-	// group and table are nil on a daemon that is no source; the table belongs
-	// to the group's goroutine.
+	// group and table are nil if the daemon is not a source. Only the group's goroutine may
+	// use table.
 	group *quorum.Group[once.Reply]
 	table *claims.Table
-	// preferred is the place in the settings of the member asked first.
+	// preferred is the index in the settings of the member that is asked first.
 	preferred atomic.Int64
-	// reachable is the place of the member that last answered without a
-	// majority.
+	// reachable is the index of the member that last replied with an error, such as a missing
+	// majority. Peek uses it.
 	reachable atomic.Int64
 }
 
-func newClaimSide(d *Daemon, incarnation, seed uint64) (*claimSide, error) {
-	s := &claimSide{d: d, suspects: newSuspects(d)}
+func newClaimManager(d *Daemon, incarnation, seed uint64) (*claimManager, error) {
+	s := &claimManager{d: d, suspects: newQuarantine(d)}
 	s.once = gateway.NewOnce(gateway.OnceConfig{
-		Node: d.set.Node, Incarnation: incarnation, Table: s, Lives: s.lives,
+		Node: d.settings.Node, Incarnation: incarnation, Table: s, Lives: s.ownerAlive,
 	}, d.log.WithName("once"))
 	s.messages = peer.NewOutbox(outboxLimit, func(ctx context.Context, addr string, messages []replica.Message) error {
 		return d.pool.Call(ctx, addr, claimsDeliver, messages, &Empty{})
 	})
-	if !d.set.IsSource() || !d.set.Source.Claims {
+	if !d.settings.IsSource() || !d.settings.Source.Claims {
 		return s, nil
 	}
 	s.table = claims.New(claims.DefaultLimits())
 	var err error
 	s.group, err = quorum.Open(quorum.Config{
-		ID: d.set.Node, Members: d.configured(), DataDir: filepath.Join(d.set.DataDir, "claims"),
+		ID: d.settings.Node, Members: d.configuredSources(), DataDir: filepath.Join(d.settings.DataDir, "claims"),
 		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, Seed: seed,
 		Idempotent: true,
 	}, s.table, s, d.log.WithName("claims"))
 	return s, err
 }
 
-// lives reports whether the daemon that made a claim still is the process that
-// made it, by its presence.
-func (s *claimSide) lives(owner once.Token) bool {
-	if owner.Node == s.d.set.Node {
+// ownerAlive reports whether the process that made a claim still runs, according to the
+// presence records known here.
+func (s *claimManager) ownerAlive(owner once.Token) bool {
+	if owner.Node == s.d.settings.Node {
 		return owner.Incarnation == s.d.incarnation
 	}
 	for _, r := range s.d.mesh.Directory().Records {
@@ -104,8 +106,8 @@
 	return false
 }
 
-// run drives this side until ctx ends.
-func (s *claimSide) run(ctx context.Context) error {
+// run runs the client and, on a source, the replica until ctx ends.
+func (s *claimManager) run(ctx context.Context) error {
 	if s.group == nil {
 		s.once.Run(ctx)
 		return nil
@@ -114,63 +116,63 @@
 	return s.group.Run(ctx)
 }
 
-// flush records what ended, before a planned stop.
-func (s *claimSide) flush() {
+// flush records the outcomes of finished requests before a planned stop.
+func (s *claimManager) flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	s.once.Flush(ctx)
 }
 
 // Send implements quorum.Transport.
-func (s *claimSide) Send(to string, messages []replica.Message) {
+func (s *claimManager) Send(to string, messages []replica.Message) {
 	if addr, ok := s.d.memberAddr(to); ok {
 		s.messages.Put(addr, messages...)
 	}
 }
 
 // Propose implements quorum.Transport.
-func (s *claimSide) Propose(ctx context.Context, to string, data []byte) (quorum.Reply, error) {
+func (s *claimManager) Propose(ctx context.Context, to string, data []byte) (quorum.Reply, error) {
 	addr, ok := s.d.memberAddr(to)
 	if !ok {
 		return quorum.Reply{}, errors.Newf("no source %s", to)
 	}
 	var reply quorum.Reply
 	err := s.d.pool.Call(ctx, addr, claimsPropose, data, &reply)
-	if hurry, ok := ctx.Value(hurryKey{}).(func()); ok && err != nil && !mayBeCommitted(err) {
-		hurry()
+	if onUnreachable, ok := ctx.Value(leaderUnreachableKey{}).(func()); ok && err != nil && !mayBeCommitted(err) {
+		onUnreachable()
 	}
 	return reply, err
 }
 
-// hurryKey is the key of a function in the context of a command. It is called
-// when the leader cannot be reached: the wait for another is short.
-type hurryKey struct{}
+// leaderUnreachableKey is the context key of a func() that is called when the leader cannot
+// be reached. It shortens the context's timeout to claimLeaderWait.
+type leaderUnreachableKey struct{}
 
-// impatient returns a context that ends after patience, or soon after the
-// leader turned out to be unreachable.
-func impatient(ctx context.Context, patience time.Duration) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// withLeaderTimeout returns a context that ends after timeout, or claimLeaderWait after the
+// leader was first found to be unreachable.
+func withLeaderTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	var once sync.Once
-	hurry := func() { once.Do(func() { time.AfterFunc(claimWait, cancel) }) }
-	return context.WithValue(ctx, hurryKey{}, hurry), cancel
+	onUnreachable := func() { once.Do(func() { time.AfterFunc(claimLeaderWait, cancel) }) }
+	return context.WithValue(ctx, leaderUnreachableKey{}, onUnreachable), cancel
 }
 
-// Do implements gateway.ClaimTable: it asks the sources in turn, the leader
-// first where it is known.
-func (s *claimSide) Do(ctx context.Context, c claims.Command) (once.Reply, bool, error) {
-	members := s.d.set.Source.Members
+// Do implements gateway.ClaimTable. It sends the command to the sources one after another,
+// starting with the leader if it is known.
+func (s *claimManager) Do(ctx context.Context, c claims.Command) (once.Reply, bool, error) {
+	members := s.d.settings.Source.Members
 	committed := false
-	var last error = result.Errorf(result.NoQuorum, "no sources in the settings")
+	var last error = result.Errorf(result.NoQuorum, "the settings name no sources")
 	first := int(s.preferred.Load())
 	for i := range members {
-		place := (first + i) % len(members)
-		answer, err := s.ask(ctx, members[place].Node, members[place].Peer, c)
+		index := (first + i) % len(members)
+		answer, err := s.send(ctx, members[index].Node, members[index].Peer, c)
 		if err == nil && answer.Code == result.OK {
-			s.prefer(place, answer.Lead)
+			s.setPreferred(index, answer.Lead)
 			return answer.Reply, false, nil
 		}
 		if err == nil {
-			s.reachable.Store(int64(place))
+			s.reachable.Store(int64(index))
 			err = result.Errorf(answer.Code, "%s", answer.Detail)
 		}
 		committed = committed || mayBeCommitted(err)
@@ -180,43 +182,46 @@
 }
 
 // Peek implements gateway.ClaimTable.
-func (s *claimSide) Peek(ctx context.Context, c claims.Command) once.Reply {
-	nothing := once.Reply{Verdict: once.NotHeld}
-	members := s.d.set.Source.Members
+func (s *claimManager) Peek(ctx context.Context, c claims.Command) once.Reply {
+	notHeld := once.Reply{Verdict: once.NotHeld}
+	members := s.d.settings.Source.Members
 	switch {
 	case s.group != nil:
-		return s.look(ctx, c)
+		return s.peekLocal(ctx, c)
 	case len(members) == 0:
-		return nothing
+		return notHeld
 	}
 	var reply once.Reply
 	if err := s.d.pool.Call(ctx, members[s.reachable.Load()].Peer, claimsPeek, c, &reply); err != nil {
-		return nothing
+		return notHeld
 	}
 	return reply
 }
 
-// look reads this source's own table.
-func (s *claimSide) look(ctx context.Context, c claims.Command) once.Reply {
+// peekLocal reads this source's replica of the table.
+func (s *claimManager) peekLocal(ctx context.Context, c claims.Command) once.Reply {
 	reply := once.Reply{Verdict: once.NotHeld}
-	seen := make(chan once.Reply, 1)
-	if err := s.group.Query(ctx, func() { seen <- s.table.Peek(c.ID, c.Fingerprint) }); err == nil {
-		reply = <-seen
+	replies := make(chan once.Reply, 1)
+	if err := s.group.Query(ctx, func() { replies <- s.table.Peek(c.ID, c.Fingerprint) }); err == nil {
+		reply = <-replies
 	}
 	return reply
 }
 
-func (s *claimSide) prefer(place int, lead string) {
-	for i, m := range s.d.set.Source.Members {
+// setPreferred selects the member that the next command is sent to first: the leader, or the
+// member at index if the settings do not name the leader.
+func (s *claimManager) setPreferred(index int, lead string) {
+	for i, m := range s.d.settings.Source.Members {
 		if m.Node == lead {
-			place = i
+			index = i
 		}
 	}
-	s.preferred.Store(int64(place))
+	s.preferred.Store(int64(index))
 }
 
-func (s *claimSide) ask(ctx context.Context, node, addr string, c claims.Command) (ClaimResult, error) {
-	if node == s.d.set.Node && s.group != nil {
+// send executes a command at one source.
+func (s *claimManager) send(ctx context.Context, node, addr string, c claims.Command) (ClaimResult, error) {
+	if node == s.d.settings.Node && s.group != nil {
 		return s.commit(ctx, c), nil
 	}
 	var answer ClaimResult
@@ -224,8 +229,8 @@
 	return answer, err
 }
 
-// mayBeCommitted reports whether a command that failed with err may be in the
-// log or may yet get there.
+// mayBeCommitted reports whether a command that failed with err may be in the log or may
+// still be appended to it.
 func mayBeCommitted(err error) bool {
 	var coded *result.Error
 	if errors.As(err, &coded) {
@@ -239,9 +244,9 @@
 	return !errors.As(err, &op) || op.Op != "dial"
 }
 
-// commit stamps a command with this source's time and proposes it.
-func (s *claimSide) commit(ctx context.Context, c claims.Command) ClaimResult {
-	ctx, cancel := impatient(ctx, s.patience())
+// commit sets the command's time from this source's clock and proposes it.
+func (s *claimManager) commit(ctx context.Context, c claims.Command) ClaimResult {
+	ctx, cancel := withLeaderTimeout(ctx, s.commitTimeout())
 	defer cancel()
 	c.Now = time.Now().UnixMilli()
 	raw, err := c.Encode()
@@ -257,18 +262,19 @@
 	return ClaimResult{Code: result.OK, Reply: reply, Lead: lead}
 }
 
-// patience is short while no leader is known.
-func (s *claimSide) patience() time.Duration {
+// commitTimeout returns the timeout of a proposal. It is short while no leader is known.
+func (s *claimManager) commitTimeout() time.Duration {
 	if s.group.Status().Lead == "" {
-		return claimWait
+		return claimLeaderWait
 	}
-	return claimServe
+	return claimCommandTimeout
 }
 
-// claimsService is the RPC side on a source.
+// claimsService serves the RPC methods of the claims group. They fail on a daemon that is not
+// a source.
 type claimsService struct{ d *Daemon }
 
-// Deliver takes in messages of another source.
+// Deliver accepts replication messages from another source.
 func (s *claimsService) Deliver(messages []replica.Message, _ *Empty) error {
 	if s.d.claims.group == nil {
 		return errNotSource
@@ -277,18 +283,18 @@
 	return nil
 }
 
-// Propose commits a command that another source passed on.
+// Propose commits a command that another source forwarded.
 func (s *claimsService) Propose(data []byte, reply *quorum.Reply) error {
 	if s.d.claims.group == nil {
 		return errNotSource
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), claimServe)
+	ctx, cancel := context.WithTimeout(context.Background(), claimCommandTimeout)
 	defer cancel()
 	*reply = s.d.claims.group.Serve(ctx, data)
 	return nil
 }
 
-// Do carries out a command of a daemon.
+// Do executes a command of a daemon.
 func (s *claimsService) Do(c claims.Command, answer *ClaimResult) error {
 	if s.d.claims.group == nil {
 		return errNotSource
@@ -297,30 +303,31 @@
 	return nil
 }
 
-// Peek tells what this source alone knows of a key.
+// Peek returns what this source's replica holds for a key, without a quorum.
 func (s *claimsService) Peek(c claims.Command, reply *once.Reply) error {
 	if s.d.claims.group == nil {
 		return errNotSource
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), peekServe)
+	ctx, cancel := context.WithTimeout(context.Background(), claimPeekTimeout)
 	defer cancel()
-	*reply = s.d.claims.look(ctx, c)
+	*reply = s.d.claims.peekLocal(ctx, c)
 	return nil
 }
 
-// newSuspects joins the quarantine to the presence that spreads its reports.
-func newSuspects(d *Daemon) *gateway.Quarantine {
+// newQuarantine returns a quarantine that publishes its suspects in this daemon's presence
+// record.
+func newQuarantine(d *Daemon) *gateway.Quarantine {
 	return gateway.NewQuarantine(gateway.QuarantineConfig{
-		Self: d.set.Node, Directory: d.mesh.Directory, Publish: d.mesh.SetSuspects,
-		SlowRestart: d.set.Servers.SlowRestart,
+		Self: d.settings.Node, Directory: d.mesh.Directory, Publish: d.mesh.SetSuspects,
+		SlowRestart: d.settings.Servers.SlowRestart,
 	}, d.log.WithName("quarantine"))
 }
 
-// stateTimeout bounds the wait for the table at a scrape.
-const stateTimeout = 200 * time.Millisecond
+// tableQueryTimeout is how long a metrics scrape waits for the table.
+const tableQueryTimeout = 200 * time.Millisecond
 
-// state is what the metrics tell of claims and suspects.
-func (s *claimSide) state() telemetry.OnceState {
+// metricsState returns the values of the metrics about claims and suspects.
+func (s *claimManager) metricsState() telemetry.OnceState {
 	state := telemetry.OnceState{Waiting: s.once.Waiting(), Suspects: s.suspects.Known()}
 	if s.group == nil {
 		return state
@@ -329,7 +336,7 @@
 	table := &telemetry.ClaimTableState{
 		Limit: claims.DefaultLimits().Claims, Syncs: status.Syncs, LogBytes: status.LogBytes, Failed: status.Failure != "",
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), tableQueryTimeout)
 	defer cancel()
 	err := s.group.Query(ctx, func() { table.Claims, table.AnswerBytes = s.table.Len(), s.table.AnswerBytes() })
 	if err == nil {
--- a/internal/process/daemon/claims_test.go
+++ b/internal/process/daemon/claims_test.go
@@ -13,26 +13,27 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// TestUnreachableLeaderIsNotWaitedFor holds that a command waits long for a
-// leader that is at work, and short once the leader's address refused.
+// TestUnreachableLeaderIsNotWaitedFor checks that a command waits for the full timeout while
+// the leader is reachable, and only claimLeaderWait after the leader's address refused a
+// connection.
 func TestUnreachableLeaderIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		start := time.Now()
-		ctx, cancel := impatient(context.Background(), claimServe)
+		ctx, cancel := withLeaderTimeout(context.Background(), claimCommandTimeout)
 		defer cancel()
 		<-ctx.Done()
-		c.Assert(time.Since(start), qt.Equals, claimServe)
+		c.Assert(time.Since(start), qt.Equals, claimCommandTimeout)
 
 		start = time.Now()
-		ctx, cancel = impatient(context.Background(), claimServe)
+		ctx, cancel = withLeaderTimeout(context.Background(), claimCommandTimeout)
 		defer cancel()
 		for range 3 {
-			ctx.Value(hurryKey{}).(func())()
-			time.Sleep(claimWait / 4)
+			ctx.Value(leaderUnreachableKey{}).(func())()
+			time.Sleep(claimLeaderWait / 4)
 		}
 		<-ctx.Done()
-		c.Assert(time.Since(start), qt.Equals, claimWait)
+		c.Assert(time.Since(start), qt.Equals, claimLeaderWait)
 	})
 	c := qt.New(t)
 	c.Assert(mayBeCommitted(&net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}), qt.IsFalse)
--- a/internal/process/daemon/committed.go
+++ b/internal/process/daemon/committed.go
@@ -8,39 +8,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The names of the control methods for the committed version.
+// RPC methods that return the committed version.
 const (
 	sourceCommitted     = "Source.Committed"
 	sourceCommittedHere = "Source.CommittedHere"
 )
 
-// The direct question of a daemon that starts.
+// Timing of the queries by which a starting daemon learns the committed version directly from
+// the sources.
 const (
-	// committedPoll is the time between two questions of one daemon, each to another
-	// source, and committedTimeout bounds one source's answer.
-	committedPoll    = 50 * time.Millisecond
+	// committedPollInterval is the time between two queries of a daemon. Consecutive queries go
+	// to different sources.
+	committedPollInterval = 50 * time.Millisecond
+	// committedTimeout is the timeout of one query.
 	committedTimeout = 500 * time.Millisecond
-	// committedUntil is when the tree has answered if anything can.
-	committedUntil = 10 * time.Second
+	// committedDeadline is when the queries end. By then the confirmation has arrived over the
+	// spread tree if that is possible at all.
+	committedDeadline = 10 * time.Second
 )
 
-var errNotLeading = errors.New("this source does not lead, or not yet")
+var errNotLeader = errors.New("this source is not the leader or has not applied all entries of earlier leaders yet")
 
-// askCommitted asks the sources which version is committed, until the answer
-// came this way or by the tree: after a restart of the whole fleet daemons are ready
-// sooner by it. Each time one source is asked, in an order of the daemon's own: while the
-// sources elect a leader none of them has an answer, and a large fleet that asked all of
-// them each time would bury them in questions.
-func (d *Daemon) askCommitted(ctx context.Context) {
-	if !d.set.Source.Direct {
+// queryCommitted polls the sources for the committed version until one replies or the version
+// is confirmed over the spread tree. It makes daemons ready sooner after a restart of the
+// whole fleet.
+//
+// Each poll queries a single source, and each daemon starts at a different one: while the
+// sources elect a leader none of them can reply, and a large fleet that queried all sources at
+// each poll would overload them.
+func (d *Daemon) queryCommitted(ctx context.Context) {
+	if !d.settings.Source.Direct {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, committedUntil)
+	ctx, cancel := context.WithTimeout(ctx, committedDeadline)
 	defer cancel()
-	ticker := time.NewTicker(committedPoll)
+	ticker := time.NewTicker(committedPollInterval)
 	defer ticker.Stop()
-	for turn := int(xxhash.Sum64String(d.set.Node) >> 1); !d.mesh.Status().Confirmed; turn++ {
-		if version, err := d.committedAtOne(ctx, turn); err == nil {
+	for turn := int(xxhash.Sum64String(d.settings.Node) >> 1); !d.mesh.Status().Confirmed; turn++ {
+		if version, err := d.queryCommittedInTurn(ctx, turn); err == nil {
 			d.mesh.SetCommitted(version)
 			return
 		}
@@ -52,70 +57,71 @@
 	}
 }
 
-// committedAtOne asks the source whose turn it is.
-func (d *Daemon) committedAtOne(ctx context.Context, turn int) (uint64, error) {
+// queryCommittedInTurn queries the source at position turn, modulo the number of sources.
+func (d *Daemon) queryCommittedInTurn(ctx context.Context, turn int) (uint64, error) {
 	sources := d.sources()
 	if len(sources) == 0 {
 		return 0, errNotSource
 	}
 	m := sources[turn%len(sources)]
-	return d.committedAt(ctx, m.Node, m.Peer)
+	return d.queryCommittedAt(ctx, m.Node, m.Peer)
 }
 
-func (d *Daemon) committedAt(ctx context.Context, node, addr string) (version uint64, err error) {
+func (d *Daemon) queryCommittedAt(ctx context.Context, node, addr string) (version uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, committedTimeout)
 	defer cancel()
-	if node == d.set.Node {
+	if node == d.settings.Node {
 		return d.leadership.committed(ctx)
 	}
 	return version, d.pool.Call(ctx, addr, sourceCommitted, Empty{}, &version)
 }
 
-// Committed returns the version that is committed, if this source leads and a
-// majority has told so since the question. One that does not lead asks the leader:
-// daemons know only the sources that their settings name.
+// Committed returns the committed version if this source is the leader and a majority has
+// confirmed that since the call. Other sources forward the call to the leader, because daemons
+// know only the sources in their settings.
 func (s *sourceService) Committed(_ Empty, version *uint64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), committedTimeout)
 	defer cancel()
 	err := s.CommittedHere(Empty{}, version)
-	if !errors.Is(err, errNotLeading) {
+	if !errors.Is(err, errNotLeader) {
 		return err
 	}
 	lead := s.d.source.Status().Lead
 	addr, known := s.d.memberAddr(lead)
-	if lead == s.d.set.Node || !known {
+	if lead == s.d.settings.Node || !known {
 		return err
 	}
 	return s.d.pool.Call(ctx, addr, sourceCommittedHere, Empty{}, version)
 }
 
-// CommittedHere is Committed at a source that is taken for the leader.
+// CommittedHere is Committed without forwarding. Sources call it at the presumed leader.
 func (s *sourceService) CommittedHere(_ Empty, version *uint64) error {
-	return s.answer(committedTimeout, func(ctx context.Context) (err error) {
+	return s.handle(committedTimeout, func(ctx context.Context) (err error) {
 		*version, err = s.d.leadership.committed(ctx)
 		return err
 	})
 }
 
-// committed waits for a round that began after the call.
+// committed returns the committed version once a majority has confirmed this leader's term in
+// a round that started after the call.
 func (l *leadership) committed(ctx context.Context) (uint64, error) {
 	term, leads := l.leads()
 	if !leads || !l.settled() {
-		return 0, errNotLeading
+		return 0, errNotLeader
 	}
-	version, asked := l.version(), time.Now()
+	version, called := l.version(), time.Now()
 	for {
 		if l.running.CompareAndSwap(false, true) {
 			l.round(term, time.Now())
 			l.running.Store(false)
 		}
-		if last := l.last.Load(); last != nil && last.term == term && !last.began.Before(asked) {
+		if last := l.last.Load(); last != nil && last.term == term && !last.started.Before(called) {
 			return version, nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, errors.Wrap(ctx.Err(), "no majority")
-		case <-time.After(committedPoll):
+			return 0, errors.Wrap(ctx.Err(), "no majority of the sources confirmed the leader")
+		case <-time.After(committedPollInterval):
 		}
 	}
 }
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -14,7 +14,7 @@
 	"github.com/daisygate/daisygate/internal/process/source"
 )
 
-// The names of the control methods.
+// RPC methods of the control connections between daemons.
 const (
 	meshDeliver   = "Mesh.Deliver"
 	sourceDeliver = "Source.Deliver"
@@ -24,7 +24,7 @@
 	nodeStatus    = "Node.Status"
 )
 
-// Empty is the argument or reply of a method that has none.
+// Empty is the argument or reply type of RPC methods without one.
 type Empty struct{}
 
 var errNotSource = errors.New("not a source")
@@ -40,7 +40,7 @@
 
 type meshService struct{ d *Daemon }
 
-// Deliver takes in an envelope.
+// Deliver passes an envelope to the mesh.
 func (s *meshService) Deliver(e mesh.Envelope, _ *Empty) error {
 	s.d.mesh.Deliver(e)
 	return nil
@@ -48,8 +48,8 @@
 
 type sourceService struct{ d *Daemon }
 
-// answer runs a method that only a source answers, for so long at the most.
-func (s *sourceService) answer(timeout time.Duration, method func(context.Context) error) error {
+// handle runs method with a timeout. It returns errNotSource if this daemon is not a source.
+func (s *sourceService) handle(timeout time.Duration, method func(context.Context) error) error {
 	if s.d.source == nil {
 		return errNotSource
 	}
@@ -58,7 +58,7 @@
 	return method(ctx)
 }
 
-// Deliver takes in messages of another source.
+// Deliver accepts replication messages from another source.
 func (s *sourceService) Deliver(messages []replica.Message, _ *Empty) error {
 	if s.d.source == nil {
 		return errNotSource
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// Propose commits a command that another source passed on.
+// Propose commits a command that another source forwarded.
 func (s *sourceService) Propose(data []byte, reply *quorum.Reply) error {
-	return s.answer(submitTimeout, func(ctx context.Context) error {
+	return s.handle(submitTimeout, func(ctx context.Context) error {
 		*reply = s.d.source.Serve(ctx, data)
 		return nil
 	})
@@ -77,15 +77,15 @@
 
 // Submit proposes a manifest.
 func (s *sourceService) Submit(o source.Order, answer *source.Answer) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*answer, err = s.d.source.Submit(ctx, &o)
 		return err
 	})
 }
 
-// Read asks for the newest manifest of a mesh.
+// Read returns the newest manifest of a mesh.
 func (s *sourceService) Read(mesh string, answer *source.Answer) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*answer, err = s.d.source.Read(ctx, mesh)
 		return err
 	})
@@ -112,18 +112,18 @@
 	return d.pool.Call(ctx, addr, sourceDeliver, messages, &Empty{})
 }
 
-// transport joins the source to the other sources.
-type transport struct{ d *Daemon }
+// sourceTransport implements quorum.Transport between the sources.
+type sourceTransport struct{ d *Daemon }
 
 // Send implements quorum.Transport.
-func (t transport) Send(to string, messages []replica.Message) {
+func (t sourceTransport) Send(to string, messages []replica.Message) {
 	if addr, ok := t.d.memberAddr(to); ok {
 		t.d.messages.Put(addr, messages...)
 	}
 }
 
 // Propose implements quorum.Transport.
-func (t transport) Propose(ctx context.Context, to string, data []byte) (quorum.Reply, error) {
+func (t sourceTransport) Propose(ctx context.Context, to string, data []byte) (quorum.Reply, error) {
 	addr, ok := t.d.memberAddr(to)
 	if !ok {
 		return quorum.Reply{}, errors.Newf("no source %s", to)
@@ -136,7 +136,7 @@
 // NodeStatus implements operator.Backend.
 func (d *Daemon) NodeStatus() operator.NodeStatus {
 	status := operator.NodeStatus{
-		Node: d.set.Node, Domain: d.set.Domain, Ready: d.Ready(), Mesh: d.mesh.Status(),
+		Node: d.settings.Node, Domain: d.settings.Domain, Ready: d.Ready(), Mesh: d.mesh.Status(),
 		ControlSent: d.traffic.Sent.Load(), ControlReceived: d.traffic.Received.Load(),
 		ControlMessages: d.traffic.Messages.Load(),
 	}
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -1,5 +1,8 @@
-// Package daemon assembles one daemon from its settings: the listeners, the
-// control side, the gateway, and the source where the settings make it one.
+// Package daemon assembles a daemon from its settings: the listeners, the control plane, the
+// gateway, and a source if the settings make the daemon one. A source is a member of the group
+// that replicates the accepted manifests; one of the sources is the leader.
+//
+// A local backend server is one that runs on the same instance as the daemon.
 package daemon
 
 import (
@@ -34,7 +37,7 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// The timing of the control side.
+// Timing of the control plane.
 const (
 	tickInterval     = 100 * time.Millisecond
 	linkInterval     = 1200 * time.Millisecond
@@ -46,17 +49,17 @@
 	activeLinks      = 5
 	maxLinks         = 7
 
-	// A source campaigns 0.5 s to 1 s after it last heard of a leader, which
-	// makes itself heard each 160 ms.
+	// A source starts an election 0.5 s to 1 s after the last message from a leader. A leader
+	// sends a heartbeat every 160 ms.
 	sourceTick           = 20 * time.Millisecond
 	sourceElectionTicks  = 25
 	sourceHeartbeatTicks = 8
-	// A source that was just started waits 60 ms to 240 ms before it asks for a
-	// pre-vote. Where a leader is alive that deposes nobody: those who hear of it
-	// refuse.
+	// sourceFirstTicks makes a source that has just started wait 60 ms to 240 ms before it
+	// requests a pre-vote. This does not depose a live leader: the sources that hear from the
+	// leader refuse the pre-vote.
 	sourceFirstTicks = 3
-	// sourceReplaceTicks is 2.5 s: a source that was restarted is back by then,
-	// and none is replaced unless another one that is new asks for a place.
+	// sourceReplaceTicks is 2.5 s, enough for a source to restart. A source is replaced only if
+	// a new source asks to join.
 	sourceReplaceTicks = 125
 
 	submitTimeout = 10 * time.Second
@@ -65,10 +68,10 @@
 
 // Daemon is one running daemon.
 type Daemon struct {
-	set     settings.Settings
-	log     logr.Logger
-	traffic *peer.Traffic
-	pool    *peer.Pool
+	settings settings.Settings
+	log      logr.Logger
+	traffic  *peer.Traffic
+	pool     *peer.Pool
 
 	items    *peer.Outbox[mesh.Item]
 	messages *peer.Outbox[replica.Message]
@@ -76,56 +79,57 @@
 	mesh    *mesh.Mesh
 	gateway *gateway.Gateway
 	source  *source.Source
-	// leadership is set once source is open.
+	// leadership is set after source has been opened; nil if the daemon is not a source.
 	leadership *leadership
 	servers    *announce.Server
-	claims     *claimSide
+	claims     *claimManager
 
-	// incarnation is the start of this process in Unix milliseconds.
+	// incarnation is the start time of this process in Unix milliseconds.
 	incarnation uint64
 
-	drains *drains
-	// token is the operators' bearer token, or "".
+	drains *drainState
+	// token is the bearer token of the operator API, "" if there is none.
 	token string
 
 	listeners map[string]net.Listener
-	// limits are the bounds around listeners, of the same names.
+	// limits holds the connection-limiting wrappers of listeners, by the same names.
 	limits map[string]*limit.Listener
 	self   view.Node
 
 	metrics *telemetry.Metrics
-	// traces is nil while no spans are written.
+	// traces is nil if tracing is off.
 	traces *telemetry.Traces
-	// lock is nil on an instance without a data folder.
+	// lock is nil if the settings name no data directory.
 	lock    *storage.Lock
 	leaving atomic.Bool
 
-	// platform is nil where the daemon speaks its own interface.
+	// platform is nil if the daemon serves its native interface.
 	platform Platform
-	// intended is the backend server beside this daemon as the settings name it.
-	intended atomic.Pointer[Beside]
-	// beside is the service that is announced beside this daemon, nil if none is.
-	beside atomic.Pointer[string]
-	// rollouts is nil on a daemon that is no source.
-	rollouts *rollouts
-	// rolloutFailed asks for a report at once.
+	// configuredServer is the local backend server named in the settings of the platform.
+	configuredServer atomic.Pointer[Beside]
+	// announcedService is the service of the announced local backend servers; nil if there are
+	// none or they belong to different services.
+	announcedService atomic.Pointer[string]
+	// rollouts is nil if the daemon is not a source.
+	rollouts *rolloutDriver
+	// rolloutFailed requests an immediate rollout report.
 	rolloutFailed chan struct{}
-	// retries is this daemon's part of the fleet's further attempts.
-	retries retries
-	// started is when this process began.
+	// retries is this daemon's share of the fleet's retry limits.
+	retries retryShare
+	// started is the start time of this process.
 	started time.Time
 }
 
-// New opens the listeners and the data folder. Run serves.
+// New opens the listeners and the data directory. Call Run to serve.
 func New(set settings.Settings, log logr.Logger) (*Daemon, error) { return NewOn(set, log, nil) }
 
-// NewAt is New on a platform; nil is none.
+// NewAt is New with a platform adapter; platform may be nil.
 func NewAt(set settings.Settings, log logr.Logger, platform Platform) (*Daemon, error) {
 	return open(set, log, nil, platform)
 }
 
-// NewOn is New on listeners that are open already, by name; those missing are
-// opened as the settings say. The daemon owns them from here on.
+// NewOn is New with listeners that are already open, by name. Missing ones are opened as the
+// settings say. The daemon takes ownership of the listeners.
 func NewOn(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
 	return open(set, log, listeners, nil)
 }
@@ -133,12 +137,12 @@
 func open(set settings.Settings, log logr.Logger, listeners map[string]net.Listener, platform Platform) (*Daemon, error) {
 	d := &Daemon{
 		platform: platform,
-		set:      set, started: time.Now(), log: log.WithValues("node", set.Node), drains: newDrains(),
+		settings: set, started: time.Now(), log: log.WithValues("node", set.Node), drains: newDrainState(),
 		traffic:       &peer.Traffic{MaxMessage: set.Limits.ControlBytes},
 		rolloutFailed: make(chan struct{}, 1),
 		listeners:     map[string]net.Listener{}, limits: map[string]*limit.Listener{},
 	}
-	d.intend(platform)
+	d.setConfiguredServer(platform)
 	maps.Copy(d.listeners, listeners)
 	if err := d.provision(); err != nil {
 		return nil, errors.CombineErrors(err, d.release())
@@ -146,31 +150,32 @@
 	return d, nil
 }
 
-// provision takes what the daemon needs of its instance, and builds it.
+// provision acquires the resources of the daemon, such as the data directory lock and the
+// listeners, and builds its parts.
 func (d *Daemon) provision() error {
 	var err error
-	if d.token, err = operator.ListenerToken(d.set.Listen.Operator, d.set.Operator.TokenFile); err != nil {
+	if d.token, err = operator.ListenerToken(d.settings.Listen.Operator, d.settings.Operator.TokenFile); err != nil {
 		return err
 	}
-	if d.set.DataDir != "" {
-		if d.lock, err = storage.LockDir(d.set.DataDir); err != nil {
+	if d.settings.DataDir != "" {
+		if d.lock, err = storage.LockDir(d.settings.DataDir); err != nil {
 			return err
 		}
 	}
 	if err := d.listen(); err != nil {
 		return err
 	}
-	if err := d.observe(); err != nil {
+	if err := d.openTelemetry(); err != nil {
 		return err
 	}
 	d.pool = peer.NewPool(d.traffic)
-	d.self = view.Node{Name: d.set.Node, Addr: d.Addr("peer"), Region: d.set.Region, Domain: d.set.Domain}
+	d.self = view.Node{Name: d.settings.Node, Addr: d.Addr("peer"), Region: d.settings.Region, Domain: d.settings.Domain}
 	d.items = peer.NewOutbox(outboxLimit, d.sendItems)
 	d.messages = peer.NewOutbox(outboxLimit, d.sendMessages)
 	return d.build()
 }
 
-// release gives back what provision took.
+// release frees the resources that provision acquired.
 func (d *Daemon) release() error {
 	d.closeListeners()
 	ctx, cancel := context.WithTimeout(context.Background(), spanFlushTimeout)
@@ -178,95 +183,96 @@
 	return errors.CombineErrors(d.traces.Close(ctx), d.lock.Close())
 }
 
+// build creates the parts of the daemon. Run starts them.
 func (d *Daemon) build() error {
 	incarnation := uint64(time.Now().UnixMilli())
 	d.incarnation = incarnation
-	seed := xxhash.Sum64String(d.set.Node) ^ incarnation
+	seed := xxhash.Sum64String(d.settings.Node) ^ incarnation
 	control, err := mesh.New(mesh.Config{
 		View: view.Config{
-			Self: d.self, Seeds: d.otherSeeds(d.set.Seeds), Active: activeLinks, Max: maxLinks,
-			Silence: linkSilence, Interval: linkInterval, Backoff: d.set.JoinBackoff, Seed: seed,
+			Self: d.self, Seeds: d.otherSeeds(d.settings.Seeds), Active: activeLinks, Max: maxLinks,
+			Silence: linkSilence, Interval: linkInterval, Backoff: d.settings.JoinBackoff, Seed: seed,
 		},
-		Spread: spread.Config{Self: d.set.Node, Seed: seed},
+		Spread: spread.Config{Self: d.settings.Node, Seed: seed},
 		Presence: presence.Config{
 			Self: d.self, Incarnation: incarnation, DigestInterval: presenceInterval, SuspectFor: suspectFor,
 			ForgetAfter: forgetAfter, ProbeInterval: probeInterval, Seed: seed,
 		},
 		Probe:        peer.Reachable,
 		OnInstall:    d.traces.Install,
-		TickInterval: tickInterval, Lead: d.lead,
+		TickInterval: tickInterval, Lead: d.leadershipState,
 	}, d.items, d.log.WithName("mesh"))
 	if err != nil {
 		return err
 	}
 	d.mesh = control
-	if d.claims, err = newClaimSide(d, incarnation, seed); err != nil {
+	if d.claims, err = newClaimManager(d, incarnation, seed); err != nil {
 		return err
 	}
 	cfg := gateway.Config{
-		Self: d.set.Node, Domain: d.set.Domain, Region: d.set.Region, QueuePerSlot: d.set.Limits.QueuePerSlot,
+		Self: d.settings.Node, Domain: d.settings.Domain, Region: d.settings.Region, QueuePerSlot: d.settings.Limits.QueuePerSlot,
 		Directory: d.mesh.Directory, Ready: d.Ready, Observer: d.metrics, Tracer: d.tracer(),
-		Abrupt: !d.set.Servers.Linger, FixedSlots: !d.set.Servers.Adapt, HoldBytes: d.set.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
+		Abrupt: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, HoldBytes: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
 		Refused:     func(addr string) { d.servers.Refused(addr) },
-		Misdirected: d.misdirected,
+		Misdirected: d.handleBootMismatch,
 		Rollout:     d.rolloutConfig(),
-		LinkBytes:   float64(d.set.Limits.LinkBytes),
-		RequestLog:  d.log.WithName(telemetry.RequestsLogger), RequestLines: d.set.Log.RequestsPerSecond,
+		LinkBytes:   float64(d.settings.Limits.LinkBytes),
+		RequestLog:  d.log.WithName(telemetry.RequestsLogger), RequestLines: d.settings.Log.RequestsPerSecond,
 	}
 	if d.platform != nil {
 		cfg.Dialect = d.platform
 	}
-	if d.set.Source.Claims {
+	if d.settings.Source.Claims {
 		cfg.Claims = d.claims.once
 	}
-	if d.set.Servers.Quarantine {
+	if d.settings.Servers.Quarantine {
 		cfg.Suspects = d.claims.suspects
 	}
 	d.gateway = gateway.New(cfg, d.log.WithName("gateway"))
-	d.servers = announce.NewServer(d.set.Servers.Dial, d.setServers)
-	d.servers.Intent, d.servers.Met = d.refuseForeign, d.metAnnouncement
-	if d.set.Servers.Rollouts {
+	d.servers = announce.NewServer(d.settings.Servers.Dial, d.setServers)
+	d.servers.Intent, d.servers.Met = d.checkAnnouncement, d.observeAnnouncement
+	if d.settings.Servers.Rollouts {
 		d.servers.TellCold()
 	}
-	if !d.set.IsSource() {
+	if !d.settings.IsSource() {
 		return nil
 	}
-	d.rollouts = newRollouts(d)
+	d.rollouts = newRolloutDriver(d)
 	d.source, err = source.Open(quorum.Config{
-		ID: d.set.Node, Members: d.configured(), DataDir: filepath.Join(d.set.DataDir, "source"),
+		ID: d.settings.Node, Members: d.configuredSources(), DataDir: filepath.Join(d.settings.DataDir, "source"),
 		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, FirstTicks: sourceFirstTicks, Seed: seed, Idempotent: true,
-		Joins: !d.founds(), ReplaceTicks: d.replaceTicks(), Voters: d.set.Source.Voters,
-	}, transport{d}, d.log.WithName(telemetry.SourceLogger), d.mesh.Publish)
+		Joins: !d.mayBootstrap(), ReplaceTicks: d.replaceTicks(), Voters: d.settings.Source.Voters,
+	}, sourceTransport{d}, d.log.WithName(telemetry.SourceLogger), d.mesh.Publish)
 	d.leadership = d.newLeadership()
 	return err
 }
 
-// otherSeeds leaves out this node's own address.
+// otherSeeds returns all without this daemon's own address.
 func (d *Daemon) otherSeeds(all []string) []string {
 	return slices.DeleteFunc(slices.Clone(all), func(s string) bool { return s == d.self.Addr })
 }
 
-// founds reports whether this source may found the group: one that the settings
-// do not name waits to be admitted.
-func (d *Daemon) founds() bool {
-	return d.set.Source.Found && (!d.set.Source.Join || slices.Contains(d.configured(), d.set.Node))
+// mayBootstrap reports whether this source may bootstrap the group. A source that the settings
+// do not name as a member waits until the group admits it.
+func (d *Daemon) mayBootstrap() bool {
+	return d.settings.Source.Found && (!d.settings.Source.Join || slices.Contains(d.configuredSources(), d.settings.Node))
 }
 
-// replaceTicks is 0 where the sources are those of the settings.
+// replaceTicks returns 0, which turns off replacement, if the settings fix the set of sources.
 func (d *Daemon) replaceTicks() int {
-	if d.set.Source.Join {
+	if d.settings.Source.Join {
 		return sourceReplaceTicks
 	}
 	return 0
 }
 
-// Ready reports whether a version confirmed by the leader is in force here.
+// Ready reports whether a confirmed version is in force at this daemon.
 func (d *Daemon) Ready() bool {
 	s := d.mesh.Status()
 	return s.Confirmed && s.Version > 0
 }
 
-// Run serves until ctx ends, then stops without cutting a request.
+// Run serves until ctx ends, then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -279,8 +285,8 @@
 		group.Go(func() error { d.rollouts.run(groupCtx); return nil })
 	}
 	group.Go(func() error { d.reportRollouts(groupCtx); return nil })
-	group.Go(func() error { d.askBeside(groupCtx); return nil })
-	group.Go(func() error { d.askCommitted(groupCtx); return nil })
+	group.Go(func() error { d.probeLocalServer(groupCtx); return nil })
+	group.Go(func() error { d.queryCommitted(groupCtx); return nil })
 	servers := d.httpServers()
 	for _, server := range servers {
 		group.Go(func() error { return ignoreClosed(server.Serve(server.listener)) })
--- a/internal/process/daemon/directory.go
+++ b/internal/process/daemon/directory.go
@@ -2,5 +2,5 @@
 
 import "github.com/daisygate/daisygate/internal/version/directory"
 
-// Directory returns who serves what, as this daemon knows it now.
+// Directory returns the daemons, their backend servers and the routes known to this daemon.
 func (d *Daemon) Directory() *directory.Directory { return d.mesh.Directory() }
--- a/internal/process/daemon/drain.go
+++ b/internal/process/daemon/drain.go
@@ -11,28 +11,28 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// The names of the control methods for drains.
+// RPC methods for drains.
 const (
 	nodeDrain       = "Node.Drain"
 	nodeDrainStatus = "Node.DrainStatus"
 )
 
-// drains holds what an operator took out of service beside this daemon. It
-// lasts until it is undone or the process ends.
-type drains struct {
+// drainState holds the drains that operators ordered for this daemon and its local backend
+// servers. A drain lasts until it is undone or the process ends.
+type drainState struct {
 	mu sync.Mutex
-	// all is set while the whole daemon drains.
+	// all is set while all local backend servers drain.
 	all bool
-	// servers holds the addresses that drain on their own.
+	// servers holds the addresses of the servers that are drained individually.
 	servers map[string]bool
-	// announced is what the backend servers say of themselves, by address.
+	// announced holds the servers as they announced themselves, by address.
 	announced map[string]presence.Server
-	// origin is the service last told in the log as that of the requests that begin here.
+	// origin is the origin service that was last logged.
 	origin string
 }
 
-// effective is what was announced, with the drains laid over it.
-func (d *drains) effective() []presence.Server {
+// effectiveServers returns the announced servers with the drains applied to their states.
+func (d *drainState) effectiveServers() []presence.Server {
 	servers := make([]presence.Server, 0, len(d.announced))
 	for _, addr := range slices.Sorted(maps.Keys(d.announced)) {
 		s := d.announced[addr]
@@ -44,8 +44,8 @@
 	return servers
 }
 
-// order carries out a drain or its undoing.
-func (d *drains) order(r operator.DrainRequest) {
+// apply executes or undoes a drain.
+func (d *drainState) apply(r operator.DrainRequest) {
 	switch {
 	case r.Server == "" && r.Undo:
 		d.all = false
@@ -59,28 +59,27 @@
 	}
 }
 
-func newDrains() *drains {
-	return &drains{servers: map[string]bool{}, announced: map[string]presence.Server{}}
+func newDrainState() *drainState {
+	return &drainState{servers: map[string]bool{}, announced: map[string]presence.Server{}}
 }
 
-// setServers takes in the announcements of the backend servers beside this
-// daemon.
+// setServers replaces the announced local backend servers.
 func (d *Daemon) setServers(announced []presence.Server) {
 	d.drains.mu.Lock()
 	defer d.drains.mu.Unlock()
-	d.logServers(announced)
+	d.logServerChanges(announced)
 	clear(d.drains.announced)
-	d.beside.Store(serviceBeside(announced))
-	d.logOrigin()
+	d.announcedService.Store(commonService(announced))
+	d.logOriginChange()
 	for _, s := range announced {
 		d.drains.announced[s.Addr] = s
 	}
 	d.publishServers()
 }
 
-// logServers tells what changed among the backend servers beside this daemon.
-// The caller holds the lock of the drains.
-func (d *Daemon) logServers(announced []presence.Server) {
+// logServerChanges logs added, changed and removed local backend servers. The caller must hold
+// d.drains.mu.
+func (d *Daemon) logServerChanges(announced []presence.Server) {
 	gone := maps.Clone(d.drains.announced)
 	for _, s := range announced {
 		before, known := gone[s.Addr]
@@ -94,9 +93,9 @@
 	}
 }
 
-// serviceBeside is the service of the one server beside a daemon; nil if there
-// is none or several of different services.
-func serviceBeside(servers []presence.Server) *string {
+// commonService returns the service that all servers belong to; nil if there are no servers or
+// they belong to different services.
+func commonService(servers []presence.Server) *string {
 	if len(servers) == 0 {
 		return nil
 	}
@@ -108,32 +107,35 @@
 	return &servers[0].Service
 }
 
-// publishServers tells gateway and fleet; the gateway first, so that late work
-// is refused as not run from the moment the fleet hears of the drain.
+// publishServers passes the servers to the gateway and then to the fleet. The gateway comes
+// first so that, once the fleet learns of a drain, requests that still arrive are refused as
+// not run.
 func (d *Daemon) publishServers() {
-	servers := d.drains.effective()
+	servers := d.drains.effectiveServers()
 	d.gateway.SetServers(servers)
 	d.mesh.SetServers(servers)
 }
 
-// Drain implements operator.Backend, here or at the daemon that is named.
+// Drain implements operator.Backend. It runs at the daemon that the request names.
 func (d *Daemon) Drain(ctx context.Context, r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
-	return d.drainAt(ctx, r, nodeDrain, d.drainHere)
+	return d.routeDrain(ctx, r, nodeDrain, d.drainLocally)
 }
 
 // DrainStatus implements operator.Backend.
 func (d *Daemon) DrainStatus(ctx context.Context, r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
-	return d.drainAt(ctx, r, nodeDrainStatus, d.drainStatus)
+	return d.routeDrain(ctx, r, nodeDrainStatus, d.drainStatus)
 }
 
-func (d *Daemon) drainAt(ctx context.Context, r operator.DrainRequest, method string, here func(operator.DrainRequest) (operator.DrainStatus, *result.Error)) (operator.DrainStatus, *result.Error) {
-	node, addr, refused := d.locate(r)
+// routeDrain calls local if the request is for this daemon, else the RPC method at the daemon
+// that it is for.
+func (d *Daemon) routeDrain(ctx context.Context, r operator.DrainRequest, method string, local func(operator.DrainRequest) (operator.DrainStatus, *result.Error)) (operator.DrainStatus, *result.Error) {
+	node, addr, refused := d.locateDaemon(r)
 	if refused != nil {
 		return operator.DrainStatus{}, refused
 	}
 	r.Node = node
-	if node == d.set.Node {
-		return here(r)
+	if node == d.settings.Node {
+		return local(r)
 	}
 	var reply DrainReply
 	if err := d.pool.Call(ctx, addr, method, r, &reply); err != nil {
@@ -142,10 +144,11 @@
 	return reply.Status, reply.Refused
 }
 
-// locate finds the daemon that a drain is meant for, and its peer address.
-func (d *Daemon) locate(r operator.DrainRequest) (node, addr string, refused *result.Error) {
-	if r.Node == d.set.Node || (r.Node == "" && r.Server == "") || (r.Node == "" && d.hasServer(r.Server)) {
-		return d.set.Node, "", nil
+// locateDaemon returns the name and the peer address of the daemon that a drain request is
+// for. addr is "" for this daemon.
+func (d *Daemon) locateDaemon(r operator.DrainRequest) (node, addr string, refused *result.Error) {
+	if r.Node == d.settings.Node || (r.Node == "" && r.Server == "") || (r.Node == "" && d.hasServer(r.Server)) {
+		return d.settings.Node, "", nil
 	}
 	for _, record := range d.mesh.Directory().Records {
 		if r.Node == record.Node.Name {
@@ -168,12 +171,12 @@
 	return announced || d.drains.servers[addr]
 }
 
-func (d *Daemon) drainHere(r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
+func (d *Daemon) drainLocally(r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
 	if r.Server != "" && !d.hasServer(r.Server) {
-		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "no backend server %s beside daemon %s", r.Server, d.set.Node)
+		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "no backend server %s beside daemon %s", r.Server, d.settings.Node)
 	}
 	d.drains.mu.Lock()
-	d.drains.order(r)
+	d.drains.apply(r)
 	d.publishServers()
 	d.drains.mu.Unlock()
 	d.log.Info("drain ordered", "server", r.Server, "undo", r.Undo)
@@ -183,8 +186,8 @@
 func (d *Daemon) drainStatus(r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
 	d.drains.mu.Lock()
 	defer d.drains.mu.Unlock()
-	status := operator.DrainStatus{Node: d.set.Node, Draining: d.drains.all}
-	for _, s := range d.drains.effective() {
+	status := operator.DrainStatus{Node: d.settings.Node, Draining: d.drains.all}
+	for _, s := range d.drains.effectiveServers() {
 		if r.Server != "" && s.Addr != r.Server {
 			continue
 		}
@@ -199,19 +202,20 @@
 	return status, nil
 }
 
-// DrainReply carries a status or a refusal over the control connection.
+// DrainReply is the RPC reply of Node.Drain and Node.DrainStatus. Refused is nil if Status is
+// valid.
 type DrainReply struct {
 	Status  operator.DrainStatus
 	Refused *result.Error
 }
 
-// Drain carries out a drain at this daemon.
+// Drain executes a drain at this daemon.
 func (s *nodeService) Drain(r operator.DrainRequest, reply *DrainReply) error {
-	reply.Status, reply.Refused = s.d.drainHere(r)
+	reply.Status, reply.Refused = s.d.drainLocally(r)
 	return nil
 }
 
-// DrainStatus tells of a drain at this daemon.
+// DrainStatus returns the state of the drains at this daemon.
 func (s *nodeService) DrainStatus(r operator.DrainRequest, reply *DrainReply) error {
 	reply.Status, reply.Refused = s.d.drainStatus(r)
 	return nil
--- a/internal/process/daemon/fleet.go
+++ b/internal/process/daemon/fleet.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// fleetListed is the most daemons that are all asked for a listing.
-	fleetListed = 64
-	// fleetConcurrency bounds how many daemons are asked at a time.
+	// fleetFullListing is the largest fleet of which every daemon is queried by default.
+	fleetFullListing = 64
+	// fleetConcurrency is the maximum number of concurrent queries.
 	fleetConcurrency = 32
-	// fleetTimeout bounds the wait for one daemon's answer.
+	// fleetTimeout is the timeout of a query to one daemon.
 	fleetTimeout = 2 * time.Second
 )
 
-// Fleet implements operator.Backend. The daemons listed are asked one by one,
-// at the cost of the daemon that the operator asked; in a large fleet, unless
-// all is set, these are a few, and the count of the spread's tree stands for the
-// others.
+// Fleet implements operator.Backend. This daemon queries each listed daemon itself. In a large
+// fleet, unless all is set, only a few daemons are listed; the count that the spread tree
+// aggregates covers the others.
 func (d *Daemon) Fleet(ctx context.Context, all bool) operator.Fleet {
 	records := d.mesh.Directory().Records
 	fleet := operator.Fleet{Daemons: len(records), InForce: d.mesh.Status().InForce, Complete: true}
-	if len(records) > fleetListed && !all {
-		records = d.notable(records, fleet.InForce.Laggards)
+	if len(records) > fleetFullListing && !all {
+		records = d.selectRecords(records, fleet.InForce.Laggards)
 		fleet.Complete = false
 	}
 	fleet.Nodes = make([]operator.FleetNode, len(records))
@@ -40,7 +39,7 @@
 	for i, r := range records {
 		fleet.Nodes[i] = operator.FleetNode{Node: r.Node.Name, Domain: r.Node.Domain, Servers: fleetServers(r.Servers)}
 		group.Go(func() error {
-			d.askStatus(ctx, r.Node.Addr, &fleet.Nodes[i])
+			d.queryStatus(ctx, r.Node.Addr, &fleet.Nodes[i])
 			return nil
 		})
 	}
@@ -49,9 +48,10 @@
 	return fleet
 }
 
-// notable are the records of the sources, of this daemon and of the laggards.
-func (d *Daemon) notable(records []*presence.Record, laggards []string) []*presence.Record {
-	wanted := map[string]bool{d.set.Node: true}
+// selectRecords returns the records of the sources, of this daemon and of the laggards, the
+// daemons that have not reached the newest version.
+func (d *Daemon) selectRecords(records []*presence.Record, laggards []string) []*presence.Record {
+	wanted := map[string]bool{d.settings.Node: true}
 	for _, member := range d.sources() {
 		wanted[member.Node] = true
 	}
@@ -78,22 +78,24 @@
 	return list
 }
 
-func (d *Daemon) askStatus(ctx context.Context, addr string, into *operator.FleetNode) {
+// queryStatus sets node to the status of the daemon with the given peer address. On failure it
+// sets only node.Error.
+func (d *Daemon) queryStatus(ctx context.Context, addr string, node *operator.FleetNode) {
 	status := d.NodeStatus()
-	if into.Node != d.set.Node {
+	if node.Node != d.settings.Node {
 		ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 		defer cancel()
 		status = operator.NodeStatus{}
 		if err := d.pool.Call(ctx, addr, nodeStatus, Empty{}, &status); err != nil {
-			into.Error = err.Error()
+			node.Error = err.Error()
 			return
 		}
 	}
-	into.Version = status.Mesh.Version
-	into.Ready = status.Ready
-	into.Stale = status.Mesh.Stale
-	into.Links = len(status.Mesh.Links)
-	into.Source = status.Source
+	node.Version = status.Mesh.Version
+	node.Ready = status.Ready
+	node.Stale = status.Mesh.Stale
+	node.Links = len(status.Mesh.Links)
+	node.Source = status.Source
 }
 
 // InForce implements operator.Backend.
@@ -104,7 +106,7 @@
 	}
 	header, known := state.Mesh(mesh)
 	if !known {
-		return operator.InForce{}, result.Errorf(result.UnknownResource, "no manifest of mesh %q is in force at daemon %s; known: %s", mesh, d.set.Node, meshList(state.Meshes()))
+		return operator.InForce{}, result.Errorf(result.UnknownResource, "no manifest of mesh %q is in force at daemon %s; known: %s", mesh, d.settings.Node, meshList(state.Meshes()))
 	}
 	m, err := state.Manifest(mesh)
 	if err != nil {
@@ -114,7 +116,7 @@
 	if err != nil {
 		return operator.InForce{}, result.Errorf(result.ManifestInvalid, "%v", err)
 	}
-	return operator.InForce{Mesh: mesh, Version: header.Version, Fleet: header.Fleet, Node: d.set.Node, Manifest: string(text)}, nil
+	return operator.InForce{Mesh: mesh, Version: header.Version, Fleet: header.Fleet, Node: d.settings.Node, Manifest: string(text)}, nil
 }
 
 func meshList(meshes []string) string {
--- a/internal/process/daemon/fleet_test.go
+++ b/internal/process/daemon/fleet_test.go
@@ -21,10 +21,10 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// patience bounds every wait for something that must happen; it is no measure.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for an expected event. It is not a performance requirement.
+const waitTimeout = 30 * time.Second
 
-// testManifest has one route, to a service that any loopback address serves.
+// testManifest has one route to a service whose servers may have any loopback address.
 const testManifest = `
 mesh: a
 version: 1
@@ -32,16 +32,16 @@
 routes: [{name: r, path: /, service: s}]
 `
 
-// running is a daemon of this process.
-type running struct {
+// testDaemon is a daemon that runs in the test process.
+type testDaemon struct {
 	*daemon.Daemon
 	set  settings.Settings
 	stop func()
 }
 
-// startDaemon runs a daemon on ports of the system's choice. The first of a
-// fleet is its only source; seed is nil for it.
-func startDaemon(c *qt.C, name string, seed *running, change func(*settings.Settings)) *running {
+// startDaemon runs a daemon on free ports. The first daemon of a fleet is the only source; its
+// seed is nil.
+func startDaemon(c *qt.C, name string, seed *testDaemon, change func(*settings.Settings)) *testDaemon {
 	return startDaemonAt(c, name, nil, func(set *settings.Settings) {
 		if seed == nil {
 			set.DataDir = c.TempDir()
@@ -56,9 +56,9 @@
 	})
 }
 
-// startDaemonAt runs a daemon whose peer listener is open already, nil for one of the
-// system's choice. It is no source unless change makes it one.
-func startDaemonAt(c *qt.C, name string, peer net.Listener, change func(*settings.Settings)) *running {
+// startDaemonAt runs a daemon with an open peer listener; nil opens one on a free port. The
+// daemon is not a source unless change makes it one.
+func startDaemonAt(c *qt.C, name string, peer net.Listener, change func(*settings.Settings)) *testDaemon {
 	var err error
 	if peer == nil {
 		peer, err = net.Listen("tcp", "127.0.0.1:0")
@@ -84,11 +84,11 @@
 		}
 	}
 	c.Cleanup(stop)
-	return &running{Daemon: d, set: set, stop: stop}
+	return &testDaemon{Daemon: d, set: set, stop: stop}
 }
 
-// apply submits testManifest and waits until every daemon is ready.
-func apply(c *qt.C, source *running, fleet ...*running) {
+// applyManifest submits testManifest and waits until every daemon is ready.
+func applyManifest(c *qt.C, source *testDaemon, fleet ...*testDaemon) {
 	client := operator.Client{Addr: source.Addr("operator"), HTTP: http.DefaultClient}
 	eventually(c, "manifest accepted", func() bool {
 		answer, err := client.Submit(context.Background(), []byte(testManifest))
@@ -99,17 +99,18 @@
 	}
 }
 
+// eventually waits until holds returns true; what describes the condition.
 func eventually(c *qt.C, what string, holds func() bool) {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	c.Fatalf("never: %s", what)
+	c.Fatalf("condition not met in time: %s", what)
 }
 
-// startBackend runs a backend server beside d, and waits until at can reach it.
-func startBackend(c *qt.C, d, at *running, handler http.HandlerFunc) {
+// startBackend runs a backend server, announces it to d and waits until caller serves calls.
+func startBackend(c *qt.C, d, caller *testDaemon, handler http.HandlerFunc) {
 	server := httptest.NewServer(handler)
 	c.Cleanup(server.Close)
 	body, err := json.Marshal(announce.Announcement{
@@ -123,11 +124,12 @@
 	_ = resp.Body.Close()
 	c.Assert(resp.StatusCode, qt.Equals, http.StatusNoContent)
 	eventually(c, "a call is answered", func() bool {
-		status, _ := fetch(c, at.Addr("caller"), "/")
+		status, _ := fetch(c, caller.Addr("caller"), "/")
 		return status == http.StatusOK
 	})
 }
 
+// fetch returns the status and the body of a GET request.
 func fetch(c *qt.C, addr, path string) (int, string) {
 	resp, err := http.Get(fmt.Sprintf("http://%s%s", addr, path))
 	c.Assert(err, qt.IsNil)
@@ -137,8 +139,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// TestHealthTellsTheTruth holds that a daemon is not ready before a confirmed
-// version is in force, and says why.
+// TestHealthTellsTheTruth checks that a daemon reports that it is not ready, with the reason,
+// until a confirmed version is in force.
 func TestHealthTellsTheTruth(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -148,7 +150,7 @@
 	status, body = fetch(c, source.Addr("operator"), "/readyz")
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(body, qt.Equals, "not ready: no version has reached this daemon yet\n")
-	apply(c, source)
+	applyManifest(c, source)
 	status, body = fetch(c, source.Addr("operator"), "/readyz")
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", body))
 	_, body = fetch(c, source.Addr("operator"), "/metrics")
@@ -156,8 +158,8 @@
 	c.Assert(body, qt.Contains, "daisygate_source_role{role=\"leader\"} 1\n")
 }
 
-// TestDataFolderIsLocked holds that two daemons never use one data folder, and
-// that it is free again after a stop.
+// TestDataFolderIsLocked checks that two daemons cannot use the same data directory and that
+// the lock is released at a stop.
 func TestDataFolderIsLocked(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/internal/process/daemon/fulllink_test.go
+++ b/internal/process/daemon/fulllink_test.go
@@ -19,70 +19,72 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// uplink is an instance's link: what leaves it goes one after the other, in the order in
-// which it was written, at so many bytes a second.
+// uplink simulates the outgoing link of an instance. Bytes are sent in the order of the writes,
+// at a fixed rate.
 type uplink struct {
+	// rate is in bytes per second.
 	rate float64
 	mu   sync.Mutex
-	// free is when all that was written has left.
+	// free is when everything written so far has been sent.
 	free time.Time
 	sent atomic.Int64
 }
 
-// pass waits until n bytes have left.
-func (u *uplink) pass(n int) {
+// transmit waits until n more bytes have been sent.
+func (u *uplink) transmit(n int) {
 	u.mu.Lock()
 	u.free = u.free.Add(time.Duration(float64(n) / u.rate * float64(time.Second)))
 	if now := time.Now(); u.free.Before(now) {
 		u.free = now
 	}
-	left := u.free
+	done := u.free
 	u.mu.Unlock()
-	time.Sleep(time.Until(left))
+	time.Sleep(time.Until(done))
 	u.sent.Add(int64(n))
 }
 
-// linked is a listener whose connections end at the uplink: near, what is written to
-// them leaves by it; far, what is read from them came by it.
-type linked struct {
+// shapedListener is a listener whose connections use an uplink: for writes if the listener is
+// on the instance of the uplink, else for reads, which carry the data that the instance sent.
+type shapedListener struct {
 	*net.TCPListener
-	up   *uplink
-	near bool
+	up *uplink
+	// sends is set if the listener is on the instance of the uplink.
+	sends bool
 }
 
 // Accept implements net.Listener.
-func (l *linked) Accept() (net.Conn, error) {
+func (l *shapedListener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &linkedConn{Conn: conn, up: l.up, near: l.near}, nil
+	return &shapedConn{Conn: conn, up: l.up, sends: l.sends}, nil
 }
 
-type linkedConn struct {
+type shapedConn struct {
 	net.Conn
-	up   *uplink
-	near bool
+	up    *uplink
+	sends bool
 }
 
 // Write implements net.Conn.
-func (c *linkedConn) Write(p []byte) (int, error) {
-	if c.near {
-		c.up.pass(len(p))
+func (c *shapedConn) Write(p []byte) (int, error) {
+	if c.sends {
+		c.up.transmit(len(p))
 	}
 	return c.Conn.Write(p)
 }
 
 // Read implements net.Conn.
-func (c *linkedConn) Read(p []byte) (int, error) {
+func (c *shapedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.near {
-		c.up.pass(n)
+	if !c.sends {
+		c.up.transmit(n)
 	}
 	return n, err
 }
 
-// fullLinkManifest has one route with large answers.
+// fullLinkManifest has one route with large responses.
 const fullLinkManifest = `
 mesh: a
 version: 1
@@ -90,10 +92,11 @@
 routes: [{name: r, path: /, service: s, repeatable: true, download: true, timeout: 2s, target: 600ms}]
 `
 
-// TestVersionsPassFullLinks holds that a version is in force at a daemon within two
-// seconds while the link of its instance, 12.6 Mbit/s, is full of answers of 90 kB each.
-// Where answers leave as they come (the link is not told), what a daemon says of versions
-// stands behind 3 s of them: two of six versions were not in force after 30 s.
+// TestVersionsPassFullLinks checks that a version is in force at a daemon within two seconds
+// while the 12.6 Mbit/s link of its instance is saturated with responses of 90 kB each. If the
+// daemon does not know the link's rate (Limits.LinkBytes) and sends responses as they come, its
+// messages about versions queue behind 3 s of responses: two of six versions were not in force
+// after 30 s.
 func TestVersionsPassFullLinks(t *testing.T) {
 	const (
 		rate      = 12.6e6 / 8
@@ -104,10 +107,10 @@
 	)
 	c := qt.New(t)
 	up := &uplink{rate: rate}
-	listen := func(near bool) net.Listener {
+	listen := func(sends bool) net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		return &linked{TCPListener: l.(*net.TCPListener), up: up, near: near}
+		return &shapedListener{TCPListener: l.(*net.TCPListener), up: up, sends: sends}
 	}
 	a := startDaemonAt(c, "a", listen(false), func(s *settings.Settings) {
 		s.DataDir = c.TempDir()
@@ -117,16 +120,16 @@
 		s.Seeds, s.Source = []string{a.set.Listen.Peer}, a.set.Source
 		s.Limits.LinkBytes, s.Servers.HoldBytes = int64(rate), 1<<20
 	})
-	hand := func(version uint64) {
+	submit := func(version uint64) {
 		m, err := manifest.Parse([]byte(fullLinkManifest))
 		c.Assert(err, qt.IsNil)
 		m.Version = version
 		eventually(c, "accepted", func() bool {
-			told, err := a.Order(context.Background(), &source.Order{Manifest: *m})
-			return err == nil && (told.Code == result.Accepted || told.Code == result.AlreadyAccepted)
+			reply, err := a.Order(context.Background(), &source.Order{Manifest: *m})
+			return err == nil && (reply.Code == result.Accepted || reply.Code == result.AlreadyAccepted)
 		})
 	}
-	hand(1)
+	submit(1)
 	eventually(c, "ready", func() bool { return a.NotReady() == "" && b.NotReady() == "" })
 	body := strings.Repeat("x", answer)
 	startBackend(c, b, a, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
@@ -139,22 +142,22 @@
 		wait.Go(func() { download(ctx, "http://"+a.Addr("caller")+"/") })
 	}
 	time.Sleep(time.Second)
-	begin, before := time.Now(), up.sent.Load()
+	start, sentBefore := time.Now(), up.sent.Load()
 	for n := range uint64(changes) {
-		hand(n + 2)
+		submit(n + 2)
 		accepted, version := time.Now(), a.NodeStatus().Source.Version
-		for b.NodeStatus().Mesh.Version < version && time.Since(accepted) < patience {
+		for b.NodeStatus().Mesh.Version < version && time.Since(accepted) < waitTimeout {
 			time.Sleep(5 * time.Millisecond)
 		}
 		c.Check(time.Since(accepted) < inForceIn, qt.IsTrue, qt.Commentf("version %d in force after %s", version, time.Since(accepted)))
 		time.Sleep(300 * time.Millisecond)
 	}
-	full := float64(up.sent.Load()-before) / time.Since(begin).Seconds() / rate
-	c.Check(full > 0.6, qt.IsTrue, qt.Commentf("the link was full to %.2f only", full))
-	t.Logf("the link was full to %.2f", full)
+	utilization := float64(up.sent.Load()-sentBefore) / time.Since(start).Seconds() / rate
+	c.Check(utilization > 0.6, qt.IsTrue, qt.Commentf("link utilization was only %.2f", utilization))
+	t.Logf("link utilization was %.2f", utilization)
 }
 
-// download asks for a large answer again and again.
+// download requests a large response repeatedly until ctx ends.
 func download(ctx context.Context, url string) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 3 * time.Second}
 	for ctx.Err() == nil {
--- a/internal/process/daemon/history.go
+++ b/internal/process/daemon/history.go
@@ -8,26 +8,27 @@
 	"github.com/daisygate/daisygate/internal/process/source"
 )
 
-// The names of the control methods for the history.
+// RPC methods for the history.
 const (
-	// sourceHistory asks a source, which asks its leader.
+	// sourceHistory asks a source, which queries the leader.
 	sourceHistory = "Source.History"
-	// sourceOwnHistory asks a source for what it has applied itself.
+	// sourceOwnHistory asks a source for the manifests that it has applied itself.
 	sourceOwnHistory = "Source.OwnHistory"
 )
 
-// logOwnHistory tells that a history may lack the newest versions.
-const logOwnHistory = "history of this source told: the leader's was not to be had"
+// logLocalHistory is the log message for a history that may lack the newest versions, because
+// the leader could not be reached.
+const logLocalHistory = "history of this source told: the leader's was not to be had"
 
-// History implements operator.Backend: from the leader where it can be reached,
-// for only the leader has applied everything that was told to be accepted; else
-// from a source that answers.
+// History implements operator.Backend. It returns the leader's history if possible, because
+// only the leader is sure to have applied every version that was reported as accepted. If the
+// leader cannot be reached, it returns the history of any source that replies.
 func (d *Daemon) History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
 	if d.source != nil {
 		return d.leaderHistory(ctx, r)
 	}
-	err := errors.New("no sources in the settings")
-	for _, member := range d.set.Source.Members {
+	err := errors.New("the settings name no sources")
+	for _, member := range d.settings.Source.Members {
 		var history []source.Accepted
 		if err = d.pool.Call(ctx, member.Peer, sourceHistory, r, &history); err == nil {
 			return history, nil
@@ -36,26 +37,27 @@
 	return nil, err
 }
 
-// leaderHistory is the leader's history, or this source's own.
+// leaderHistory returns the leader's history, or this source's own if the leader cannot be
+// reached.
 func (d *Daemon) leaderHistory(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
 	lead := d.source.Status().Lead
 	addr, known := d.memberAddr(lead)
-	if known && lead != d.set.Node {
-		try, cancel := context.WithTimeout(ctx, submitTry)
+	if known && lead != d.settings.Node {
+		callCtx, cancel := context.WithTimeout(ctx, sourceCallTimeout)
 		defer cancel()
 		var history []source.Accepted
-		err := d.pool.Call(try, addr, sourceOwnHistory, r, &history)
+		err := d.pool.Call(callCtx, addr, sourceOwnHistory, r, &history)
 		if err == nil {
 			return history, nil
 		}
-		d.operatorLog().Info(logOwnHistory, "leader", lead, "error", err.Error(), "version", d.source.Status().Version)
+		d.operatorLog().Info(logLocalHistory, "leader", lead, "error", err.Error(), "version", d.source.Status().Version)
 	}
 	return d.source.History(ctx, r)
 }
 
-// History returns the accepted manifests.
+// History returns the accepted manifests, from the leader if possible.
 func (s *sourceService) History(r source.HistoryRequest, history *[]source.Accepted) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*history, err = s.d.leaderHistory(ctx, r)
 		return err
 	})
@@ -63,7 +65,7 @@
 
 // OwnHistory returns the accepted manifests that this source has applied.
 func (s *sourceService) OwnHistory(r source.HistoryRequest, history *[]source.Accepted) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*history, err = s.d.source.History(ctx, r)
 		return err
 	})
--- a/internal/process/daemon/input_test.go
+++ b/internal/process/daemon/input_test.go
@@ -16,13 +16,13 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// raw sends text on a new connection and returns the answer, or nil when the
-// connection was closed without one.
-func raw(c *qt.C, addr, text string) *http.Response {
+// sendRaw sends text on a new connection and returns the response, or nil if the connection was
+// closed without one.
+func sendRaw(c *qt.C, addr, text string) *http.Response {
 	conn, err := net.Dial("tcp", addr)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	_, _ = io.WriteString(conn, text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -31,14 +31,13 @@
 	return resp
 }
 
-// TestBadInputIsNumberedAndHurtsNobody sends each listener what it can't take.
-// Each gets the numbered code of its fault, and a call that runs all the while
-// is answered whole.
+// TestBadInputIsNumberedAndHurtsNobody sends invalid input to each listener. Each response must
+// have the result code of the fault, and a call that is in progress meanwhile must complete.
 func TestBadInputIsNumberedAndHurtsNobody(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	source := startDaemon(c, "a", nil, func(s *settings.Settings) { s.Limits.ManifestBytes = 2048 })
-	apply(c, source)
+	applyManifest(c, source)
 	release := make(chan struct{})
 	startBackend(c, source, source, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
@@ -72,7 +71,7 @@
 		{"peer", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "219"},
 		{"peer", "CONNECT example.org:80 HTTP/1.1\r\nHost: example.org:80\r\n\r\n", "311"},
 	} {
-		resp := raw(c, source.Addr(v.listener), v.text)
+		resp := sendRaw(c, source.Addr(v.listener), v.text)
 		c.Assert(resp, qt.IsNotNil, qt.Commentf("%s: %.60q", v.listener, v.text))
 		c.Check(resp.Header.Get(result.HeaderResult), qt.Equals, v.want, qt.Commentf("%s: %.60q", v.listener, v.text))
 		c.Check(resp.Header.Get(result.HeaderOutcome), qt.Equals, "not-run")
@@ -84,8 +83,9 @@
 	c.Assert(string(whole), qt.Equals, "begun ended")
 }
 
-// TestControlMessagesAreBounded announces a control message of 1 GiB. The
-// connection ends on the length alone, and other control goes on.
+// TestControlMessagesAreBounded sends the length prefix of a control message of 1 GiB. The
+// daemon must close the connection because of the length, and other control connections must
+// keep working.
 func TestControlMessagesAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -93,7 +93,7 @@
 	conn, err := net.Dial("tcp", source.Addr("peer"))
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	_, err = io.WriteString(conn, "CONNECT /daisygate/rpc HTTP/1.0\n\n")
 	c.Assert(err, qt.IsNil)
 	reader := bufio.NewReader(conn)
@@ -104,12 +104,12 @@
 	c.Assert(err, qt.IsNil)
 	_, err = reader.ReadByte()
 	c.Assert(err, qt.Equals, io.EOF)
-	apply(c, source, startDaemon(c, "b", source, nil))
+	applyManifest(c, source, startDaemon(c, "b", source, nil))
 }
 
-// TestRefusedWhileSending holds that who sends a body that is too large gets the
-// refusal and an ordered end, not a reset, though the body is not read to its
-// end: the sending half is closed first.
+// TestRefusedWhileSending checks that a client that sends too large a body receives the refusal
+// and an orderly close instead of a reset, although the daemon does not read the whole body.
+// The daemon closes its sending half first.
 func TestRefusedWhileSending(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -117,11 +117,11 @@
 	conn, err := net.Dial("tcp", source.Addr("operator"))
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	_, err = io.WriteString(conn, "POST /v1/manifests HTTP/1.1\r\nHost: a\r\nContent-Length: 1073741824\r\n\r\n")
 	c.Assert(err, qt.IsNil)
 	for block := make([]byte, 64<<10); err == nil; {
-		// The daemon has stopped reading when nothing is taken for this long.
+		// A write that blocks for this long means that the daemon has stopped reading.
 		_ = conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
 		_, err = conn.Write(block)
 	}
--- a/internal/process/daemon/lead.go
+++ b/internal/process/daemon/lead.go
@@ -13,46 +13,48 @@
 )
 
 const (
-	// leadRoundTimeout bounds one round of questions to the other sources.
-	leadRoundTimeout = time.Second
+	// quorumRoundTimeout is the timeout of one round of queries to the other sources.
+	quorumRoundTimeout = time.Second
 )
 
-// acknowledged is a round in which a majority of the sources had the leader's
-// term after began.
-type acknowledged struct {
-	term  uint64
-	began time.Time
+// quorumRound is a round of queries that started at the given time and in which a majority of
+// the sources had the leader's term.
+type quorumRound struct {
+	term    uint64
+	started time.Time
 }
 
-// leadership finds out, when it is asked, whether a majority of the sources
-// still has this leader's term: the read index of Ongaro's thesis (2014),
-// section 6.4. A leader that was cut off or stopped for a while finds that it
-// does not, however long it still takes itself for the leader.
+// leadership checks on request whether a majority of the sources still has this leader's term,
+// as the ReadIndex procedure in section 6.4 of Ongaro's thesis (2014) does. The check fails on
+// a leader that was partitioned or paused and has been replaced, even while it still considers
+// itself the leader.
 type leadership struct {
-	// leads is this source's own belief; version is what it has applied.
+	// leads returns the term and whether this source considers itself the leader; version
+	// returns the version that it has applied.
 	leads   func() (term uint64, leads bool)
 	version func() uint64
-	// settled tells that all that earlier leaders committed is applied here.
+	// settled reports whether all entries that earlier leaders committed are applied here.
 	settled func() bool
-	// others returns the peer addresses of the other sources; term asks one of
+	// others returns the peer addresses of the other sources; term queries the term of one of
 	// them.
 	others func() []string
 	term   func(ctx context.Context, addr string) (uint64, error)
 
+	// running is set while a round runs; last is the last successful round.
 	running atomic.Bool
-	last    atomic.Pointer[acknowledged]
+	last    atomic.Pointer[quorumRound]
 }
 
-// lead tells the spread of versions about this source's leadership, nil if it
-// does not lead. asked begins a round, unless one is under way.
-func (l *leadership) lead(now time.Time, asked bool) *spread.Lead {
+// state returns what package spread needs to know of this source's leadership, nil if it is
+// not the leader. If asked is set, state also starts a round unless one is running.
+func (l *leadership) state(now time.Time, asked bool) *spread.Lead {
 	term, leads := l.leads()
 	if !leads {
 		return nil
 	}
 	lead := &spread.Lead{Term: term, Version: l.version()}
 	if last := l.last.Load(); last != nil && last.term == term {
-		lead.Quorum = last.began
+		lead.Quorum = last.started
 	}
 	if asked && l.settled() && l.running.CompareAndSwap(false, true) {
 		go func() {
@@ -63,10 +65,10 @@
 	return lead
 }
 
-// round asks all other sources for their term and notes it as soon as a
-// majority, this one included, has the given one.
-func (l *leadership) round(term uint64, began time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), leadRoundTimeout)
+// round queries the terms of all other sources and records the round as soon as a majority,
+// including this source, has the given term.
+func (l *leadership) round(term uint64, started time.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), quorumRoundTimeout)
 	defer cancel()
 	var same atomic.Int64
 	var wait sync.WaitGroup
@@ -78,19 +80,20 @@
 				return
 			}
 			if same.Add(1)+1 >= majority {
-				l.note(acknowledged{term: term, began: began})
+				l.record(quorumRound{term: term, started: started})
 			}
 		})
 	}
 	if majority == 1 {
-		l.note(acknowledged{term: term, began: began})
+		l.record(quorumRound{term: term, started: started})
 	}
 	wait.Wait()
 }
 
-func (l *leadership) note(a acknowledged) {
-	if term, leads := l.leads(); leads && term == a.term {
-		l.last.Store(&a)
+// record stores a successful round, unless the term has ended in the meantime.
+func (l *leadership) record(r quorumRound) {
+	if term, leads := l.leads(); leads && term == r.term {
+		l.last.Store(&r)
 	}
 }
 
@@ -108,17 +111,17 @@
 	return l
 }
 
-// lead implements mesh.Config.Lead.
-func (d *Daemon) lead(now time.Time, asked bool) *spread.Lead {
+// leadershipState implements mesh.Config.Lead.
+func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Lead {
 	if d.leadership == nil {
 		return nil
 	}
-	return d.leadership.lead(now, asked)
+	return d.leadership.state(now, asked)
 }
 
 const sourceTerm = "Source.Term"
 
-// Term returns this source's term; one without a vote has none to tell.
+// Term returns this source's term. It fails while the source has no vote.
 func (s *sourceService) Term(_ Empty, term *uint64) error {
 	if s.d.source == nil {
 		return errNotSource
--- a/internal/process/daemon/lead_test.go
+++ b/internal/process/daemon/lead_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLeadershipNeedsMajority: a source that still takes itself for the leader
-// has no newer quorum from sources that went on to another term or are silent.
+// TestLeadershipNeedsMajority checks that a source that still considers itself the leader gets
+// no newer quorum time while the other sources are in another term or do not respond.
 func TestLeadershipNeedsMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -25,30 +25,30 @@
 			term: func(ctx context.Context, addr string) (uint64, error) {
 				if terms[addr] == 0 {
 					<-ctx.Done()
-					return 0, errors.New("silent")
+					return 0, errors.New("no response")
 				}
 				return terms[addr], nil
 			},
 		}
-		ask := func() time.Time {
-			time.Sleep(2 * leadRoundTimeout)
-			l.lead(time.Now(), true)
+		quorumTime := func() time.Time {
+			time.Sleep(2 * quorumRoundTimeout)
+			l.state(time.Now(), true)
 			synctest.Wait()
-			return l.lead(time.Now(), false).Quorum
+			return l.state(time.Now(), false).Quorum
 		}
-		l.lead(time.Now(), true)
+		l.state(time.Now(), true)
 		synctest.Wait()
-		c.Assert(l.lead(time.Now(), false).Quorum.IsZero(), qt.IsTrue, qt.Commentf("the term has just begun"))
+		c.Assert(l.state(time.Now(), false).Quorum.IsZero(), qt.IsTrue, qt.Commentf("entries of earlier leaders are not applied yet"))
 		settled = true
-		first := ask()
+		first := quorumTime()
 		c.Assert(first, qt.Equals, time.Now())
 		terms["b"] = 0
-		second := ask()
-		c.Assert(second.After(first), qt.IsTrue, qt.Commentf("one silent source of three is no harm"))
+		second := quorumTime()
+		c.Assert(second.After(first), qt.IsTrue, qt.Commentf("two of three sources are a majority"))
 		terms["c"] = 4
-		c.Assert(ask(), qt.Equals, second)
+		c.Assert(quorumTime(), qt.Equals, second)
 		terms["b"] = 3
-		c.Assert(ask(), qt.Equals, time.Now())
-		time.Sleep(leadRoundTimeout)
+		c.Assert(quorumTime(), qt.Equals, time.Now())
+		time.Sleep(quorumRoundTimeout)
 	})
 }
--- a/internal/process/daemon/listeners.go
+++ b/internal/process/daemon/listeners.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// spareFiles are the open files kept for everything but connections.
-	spareFiles = 256
-	// minCallerConnections is what callers get, however few files there are.
+	// reservedFiles is the number of file descriptors reserved for uses other than connections.
+	reservedFiles = 256
+	// minCallerConnections is the lower bound of the limit on caller connections, however few
+	// file descriptors there are.
 	minCallerConnections = 64
 )
 
-// listen opens the listeners that were not handed over.
+// listen opens the listeners that were not passed to NewOn.
 func (d *Daemon) listen() error {
 	addrs := map[string]string{
-		"caller": d.set.Listen.Caller, "announce": d.set.Listen.Announce,
-		"peer": d.set.Listen.Peer, "operator": d.set.Listen.Operator,
-		"control": d.set.Listen.Control, "health": d.set.Listen.Health, "metrics": d.set.Listen.Metrics,
+		"caller": d.settings.Listen.Caller, "announce": d.settings.Listen.Announce,
+		"peer": d.settings.Listen.Peer, "operator": d.settings.Listen.Operator,
+		"control": d.settings.Listen.Control, "health": d.settings.Listen.Health, "metrics": d.settings.Listen.Metrics,
 	}
 	for name, addr := range addrs {
 		if addr == "" || d.listeners[name] != nil {
@@ -39,7 +40,7 @@
 		}
 		d.listeners[name] = listener
 	}
-	d.bound()
+	d.limitConnections()
 	return nil
 }
 
@@ -49,8 +50,8 @@
 	}
 }
 
-// Addr returns the address of a listener: "caller", "announce", "peer",
-// "operator", "control", "health" or "metrics"; "" if the settings name none.
+// Addr returns the address of a listener: "caller", "announce", "peer", "operator", "control",
+// "health" or "metrics". It returns "" if the settings do not configure that listener.
 func (d *Daemon) Addr(listener string) string {
 	if d.listeners[listener] == nil {
 		return ""
@@ -58,16 +59,16 @@
 	return d.listeners[listener].Addr().String()
 }
 
-// bound puts the limits of the settings around the listeners.
-func (d *Daemon) bound() {
-	limits := d.set.Limits
+// limitConnections wraps the listeners with the connection limits of the settings.
+func (d *Daemon) limitConnections() {
+	limits := d.settings.Limits
 	files, err := openFiles()
 	if err != nil {
-		d.log.Error(err, "number of open files unknown")
+		d.log.Error(err, "cannot read the limit on open files")
 	}
 	callers := callerConnections(limits.CallerConnections, limits.PeerConnections+limits.AnnounceConnections+limits.OperatorConnections, files)
 	if callers < limits.CallerConnections {
-		d.log.Info("caller connections lowered to the open files of this process",
+		d.log.Info("limit on caller connections lowered to fit the limit on open files",
 			"setting", limits.CallerConnections, "limit", callers, "open_files", files)
 	}
 	connections := map[string]int{
@@ -75,33 +76,34 @@
 		"peer": limits.PeerConnections, "operator": limits.OperatorConnections,
 		"control": limits.OperatorConnections, "health": limits.AnnounceConnections, "metrics": limits.OperatorConnections,
 	}
-	for name, most := range connections {
+	for name, maxConns := range connections {
 		if d.listeners[name] == nil {
 			continue
 		}
-		d.limits[name] = limit.New(d.listeners[name], limit.Config{Connections: most, StallTimeout: limits.StallTimeout})
+		d.limits[name] = limit.New(d.listeners[name], limit.Config{Connections: maxConns, StallTimeout: limits.StallTimeout})
 	}
 }
 
-// callerConnections is how many connections callers may hold when the process
-// may open so many files: a call takes two, and the listeners that keep the
-// fleet together are not to run short for callers' sake. files 0 is unknown.
+// callerConnections returns the limit on caller connections for a process that may open the
+// given number of files. A call needs two connections, and callers must not exhaust the
+// descriptors of the listeners that the fleet itself depends on. files is 0 if unknown.
 func callerConnections(wanted, others, files int) int {
 	if files == 0 {
 		return wanted
 	}
-	return min(wanted, max((files-spareFiles-others)/2, minCallerConnections))
+	return min(wanted, max((files-reservedFiles-others)/2, minCallerConnections))
 }
 
-// openFiles is the most files this process may open.
+// openFiles returns the soft limit on open files of this process, at most 1<<30.
 func openFiles() (int, error) {
-	var most syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &most); err != nil {
+	var rlimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &rlimit); err != nil {
 		return 0, err
 	}
-	return int(min(most.Cur, 1<<30)), nil
+	return int(min(rlimit.Cur, 1<<30)), nil
 }
 
+// httpServers returns the server of each open listener, by the listener's name.
 func (d *Daemon) httpServers() map[string]*httpServer {
 	control := rpc.NewServer()
 	registerControl(control, d)
@@ -109,8 +111,8 @@
 		"caller":   http.HandlerFunc(d.gateway.ServeCaller),
 		"announce": d.servers.Handler(),
 		"peer":     peer.Handler(control, http.HandlerFunc(d.gateway.ServePeer), d.traffic),
-		"operator": telemetry.WithHealth(d.traced(operator.Handler(operator.Config{
-			Token: d.token, ManifestBytes: d.set.Limits.ManifestBytes, SubmitTimeout: submitTimeout, Metrics: d.metrics,
+		"operator": telemetry.WithHealth(d.traceRequests(operator.Handler(operator.Config{
+			Token: d.token, ManifestBytes: d.settings.Limits.ManifestBytes, SubmitTimeout: submitTimeout, Metrics: d.metrics,
 		}, tracedBackend{d})), d.NotReady),
 	}
 	if d.platform != nil {
@@ -125,11 +127,11 @@
 		if d.listeners[name] == nil {
 			continue
 		}
-		servers[name] = d.graceful(name, &http.Server{
+		servers[name] = d.newHTTPServer(name, &http.Server{
 			Handler:           handler,
-			ReadHeaderTimeout: d.set.Limits.HeaderTimeout,
-			IdleTimeout:       d.set.Limits.IdleTimeout,
-			MaxHeaderBytes:    d.set.Limits.HeaderBytes,
+			ReadHeaderTimeout: d.settings.Limits.HeaderTimeout,
+			IdleTimeout:       d.settings.Limits.IdleTimeout,
+			MaxHeaderBytes:    d.settings.Limits.HeaderBytes,
 			ErrorLog:          serverLog(d.log.WithName(name)),
 		})
 	}
--- a/internal/process/daemon/listeners_test.go
+++ b/internal/process/daemon/listeners_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCallersLeaveFilesForPeers holds that callers are shed before the fleet's
-// own connections where a process may open few files.
+// TestCallersLeaveFilesForPeers checks that a low limit on open files reduces the caller
+// connections and not the connections of the fleet itself.
 func TestCallersLeaveFilesForPeers(t *testing.T) {
 	c := qt.New(t)
 	for _, v := range []struct{ wanted, others, files, want int }{
--- a/internal/process/daemon/observe.go
+++ b/internal/process/daemon/observe.go
@@ -16,22 +16,22 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// spanFlushTimeout bounds the writing of the last spans.
+// spanFlushTimeout is how long a stop waits until the last spans are written.
 const spanFlushTimeout = 5 * time.Second
 
-// hopOperator is the span of a request of an operator.
+// hopOperator is the hop of the span of an operator request.
 const hopOperator gateway.Hop = "operator"
 
-// observe opens the metrics and the spans.
-func (d *Daemon) observe() error {
-	began := time.Now()
-	d.metrics = telemetry.NewMetrics(func() telemetry.State { return d.state(time.Since(began)) })
+// openTelemetry creates the metrics and opens the trace file.
+func (d *Daemon) openTelemetry() error {
+	start := time.Now()
+	d.metrics = telemetry.NewMetrics(func() telemetry.State { return d.metricsState(time.Since(start)) })
 	var err error
-	d.traces, err = telemetry.OpenTraces(d.set.Trace, d.set.Node, d.set.Domain, d.log.WithName("trace"))
+	d.traces, err = telemetry.OpenTraces(d.settings.Trace, d.settings.Node, d.settings.Domain, d.log.WithName("trace"))
 	return err
 }
 
-// tracer is nil while no spans are written, so that calls cost none.
+// tracer returns nil if tracing is off, so that calls create no spans.
 func (d *Daemon) tracer() gateway.Tracer {
 	if d.traces == nil {
 		return nil
@@ -39,8 +39,8 @@
 	return d.traces
 }
 
-// traced begins a span for each request of an operator.
-func (d *Daemon) traced(next http.Handler) http.Handler {
+// traceRequests creates a span for each operator request.
+func (d *Daemon) traceRequests(next http.Handler) http.Handler {
 	if d.traces == nil {
 		return next
 	}
@@ -52,8 +52,7 @@
 	})
 }
 
-// tracedBackend is the daemon as the operator API sees it, with a span for each
-// commit.
+// tracedBackend is the operator.Backend of the daemon. It creates a span for each commit.
 type tracedBackend struct{ *Daemon }
 
 // Submit implements operator.Backend.
@@ -64,16 +63,17 @@
 	return answer, err
 }
 
-// logStart tells what people need to know of a process that begins.
+// logStart logs the build revision and the main settings at the start of the process.
 func (d *Daemon) logStart() {
-	s := &d.set
+	s := &d.settings
 	d.log.Info("serving",
 		"revision", revision(), "region", s.Region, "domain", s.Domain, "source", s.IsSource(), "data_dir", s.DataDir,
 		"caller", d.Addr("caller"), "announce", d.Addr("announce"), "peer", d.Addr("peer"), "operator", d.Addr("operator"),
 		"token", d.token != "", "trace_file", s.Trace.File, "trace_ratio", s.Trace.SampleRatio)
 }
 
-// revision is the commit this binary was built from, as far as it is known.
+// revision returns the commit that the binary was built from, or the module version if the
+// commit is unknown.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -87,7 +87,7 @@
 	return info.Main.Version
 }
 
-// NotReady says why this daemon should get no requests, or "".
+// NotReady returns the reason why this daemon should get no requests, or "".
 func (d *Daemon) NotReady() string {
 	s := d.mesh.Status()
 	switch {
@@ -96,14 +96,14 @@
 	case s.Version == 0:
 		return "no version has reached this daemon yet"
 	case !d.Ready():
-		return "the version at hand is not yet confirmed as the newest that was accepted"
+		return "the version in force is not yet confirmed as the newest accepted version"
 	default:
 		return ""
 	}
 }
 
-// state is what the metrics tell of this daemon.
-func (d *Daemon) state(uptime time.Duration) telemetry.State {
+// metricsState returns the values of the daemon's metrics.
+func (d *Daemon) metricsState(uptime time.Duration) telemetry.State {
 	control := d.mesh.Status()
 	state := telemetry.State{
 		Uptime: uptime, Ready: d.NotReady() == "", Stale: control.Stale, Leaving: d.leaving.Load(),
@@ -111,7 +111,7 @@
 		Depth: int(control.Depth), InForce: control.InForce.Count, Fleet: control.InForce.Total, Diverged: control.Diverged,
 		Links: len(control.Links), Nodes: control.Nodes,
 		ControlSent: d.traffic.Sent.Load(), ControlReceived: d.traffic.Received.Load(),
-		Backends: d.gateway.Occupancy(), Budgets: d.gateway.Budgets(), Rollouts: d.gateway.Rollouts(), Once: d.claims.state(),
+		Backends: d.gateway.Occupancy(), Budgets: d.gateway.Budgets(), Rollouts: d.gateway.Rollouts(), Once: d.claims.metricsState(),
 	}
 	state.Servers = len(state.Backends)
 	for name, l := range d.limits {
@@ -128,8 +128,8 @@
 	return state
 }
 
-// serverLog takes in what net/http logs of single connections: detail, for
-// anyone who can reach a listener can cause it.
+// serverLog returns the error log of an http.Server. It writes at verbosity 1, because anyone
+// who can reach a listener can cause these messages.
 func serverLog(log logr.Logger) *stdlog.Logger {
 	return stdlog.New(logWriter{log}, "", 0)
 }
--- a/internal/process/daemon/order_test.go
+++ b/internal/process/daemon/order_test.go
@@ -16,8 +16,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// order is what an operator hands in for version n of mesh a, on top of base.
-func order(c *qt.C, n, base uint64) *source.Order {
+// newOrder returns an operator's order for version n of mesh a, based on version base.
+func newOrder(c *qt.C, n, base uint64) *source.Order {
 	m, err := manifest.Parse([]byte(testManifest))
 	c.Assert(err, qt.IsNil)
 	m.Version = n
@@ -25,7 +25,7 @@
 }
 
 // startSources runs three sources.
-func startSources(c *qt.C) []*running {
+func startSources(c *qt.C) []*testDaemon {
 	var members []settings.Member
 	listeners := map[string]net.Listener{}
 	for _, name := range []string{"a", "b", "c"} {
@@ -34,7 +34,7 @@
 		listeners[name] = listener
 		members = append(members, settings.Member{Node: name, Peer: listener.Addr().String()})
 	}
-	var sources []*running
+	var sources []*testDaemon
 	for _, m := range members {
 		sources = append(sources, startDaemonAt(c, m.Node, listeners[m.Node], func(s *settings.Settings) {
 			s.DataDir, s.Source.Members = c.TempDir(), members
@@ -44,13 +44,15 @@
 	return sources
 }
 
-// TestEverySourceReadsTheNewest holds that each accepted version can be read at once
-// wherever an operator asks: at the leader, at the other sources, at a daemon that is no
-// source, and while the leader is away. Version 99 had been acknowledged, and 97 was read
-// back: only the leader could answer, for every other source got the leader's answer without
-// its text. With a line for each read, 45 of 58 reads in three days ended in "216 no
-// configuration was accepted yet", and the 13 others had come to one source a day. Tests
-// until then read at the leader, or compared what sources had applied.
+// TestEverySourceReadsTheNewest checks that each accepted version can be read immediately from
+// every daemon: the leader, the other sources, a daemon that is not a source, and all remaining
+// ones after the leader has stopped.
+//
+// It guards against a failure in which version 99 had been acknowledged but 97 was read. The
+// leader's answer reached the other sources without its text, so only the leader could answer:
+// 45 of 58 reads in three days failed with "216 no configuration was accepted yet", and the
+// other 13 had reached one particular source each day. Earlier tests read only at the leader or
+// compared the applied states.
 func TestEverySourceReadsTheNewest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -69,9 +71,9 @@
 			c.Check(string(text), qt.Equals, fmt.Sprintf("text of %d", version), qt.Commentf("at %s", d.set.Node))
 		}
 	}
-	accept := func(version, base uint64, at *running) {
+	accept := func(version, base uint64, at *testDaemon) {
 		eventually(c, "accepted", func() bool {
-			answer, err := at.Order(context.Background(), order(c, version, base))
+			answer, err := at.Order(context.Background(), newOrder(c, version, base))
 			return err == nil && (answer.Code == result.Accepted || answer.Code == result.AlreadyAccepted)
 		})
 	}
@@ -79,7 +81,7 @@
 		accept(n+1, n, daemons[n%uint64(len(daemons))])
 		read(n + 1)
 	}
-	var left []*running
+	var left []*testDaemon
 	for _, d := range daemons {
 		if status := d.NodeStatus().Source; status != nil && status.Role == "leader" {
 			d.stop()
@@ -93,11 +95,12 @@
 	read(9)
 }
 
-// TestFirstOrderWinsOnce holds that of two manifests for a mesh without one, each handed in
-// on top of none, the second is refused, also at a daemon that is no source. Its base, 0,
-// was left out on the way to the source (package gob sends no zeros, also not those behind
-// a pointer), and what builds on no version in particular is accepted on any: "100 Accepted"
-// where 114 was due.
+// TestFirstOrderWinsOnce checks that, of two first manifests for a mesh that are both based on
+// version 0, the second is refused, even when submitted at a daemon that is not a source.
+//
+// Package gob omits zero values, including those behind a pointer. The base 0 was therefore lost
+// on the way to the source, and an order without a base is accepted on any version: the result
+// was "100 Accepted" instead of 114.
 func TestFirstOrderWinsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -105,21 +108,21 @@
 	b := startDaemon(c, "b", a, nil)
 	var first source.Answer
 	eventually(c, "the first is accepted", func() bool {
-		first, _ = b.Order(context.Background(), order(c, 3, 0))
+		first, _ = b.Order(context.Background(), newOrder(c, 3, 0))
 		return first.Code == result.Accepted || first.Code == result.AlreadyAccepted
 	})
-	second, err := b.Order(context.Background(), order(c, 5, 0))
+	second, err := b.Order(context.Background(), newOrder(c, 5, 0))
 	c.Assert(err, qt.IsNil)
 	c.Check(second.Code, qt.Equals, result.BaseMoved, qt.Commentf("%s", second.Detail))
 }
 
-// TestOrderKeepsItsBase holds that a source is told the base that the operator named.
+// TestOrderKeepsItsBase checks that a source receives the base that the operator named.
 func TestOrderKeepsItsBase(t *testing.T) {
 	c := qt.New(t)
 	orders := make(chan source.Order, 1)
 	d := newClient(c, logr.Discard(), []*fakeSource{{answer: source.Answer{Code: result.Accepted}, orders: orders}})
 	for _, base := range []uint64{0, 7} {
-		_, err := d.Order(context.Background(), order(c, 8, base))
+		_, err := d.Order(context.Background(), newOrder(c, 8, base))
 		c.Assert(err, qt.IsNil)
 		c.Check((<-orders).Base, qt.Equals, source.On(base))
 	}
--- a/internal/process/daemon/platform.go
+++ b/internal/process/daemon/platform.go
@@ -10,82 +10,82 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Platform is an adapter to the platform that a daemon runs on: it translates
-// names, formats and calls, and decides nothing. Without one the daemon speaks
-// its own interface.
+// Platform is an adapter to the platform that a daemon runs on. It translates names, formats
+// and calls, and makes no decisions. Without a platform the daemon serves its native interface.
 type Platform interface {
 	gateway.Dialect
-	// Control returns what answers at listen.control.
+	// Control returns the handler of listen.control.
 	Control(c Control) http.Handler
-	// Health returns what answers at listen.health; notReady says why the daemon
+	// Health returns the handler of listen.health. notReady returns the reason why the daemon
 	// should get no requests, or "".
 	Health(notReady func() string) http.Handler
-	// Beside is the backend server of this instance as the settings name it.
+	// Beside returns the local backend server named in the settings.
 	Beside() Beside
-	// Healthy reads what a backend server answers at its health path.
+	// Healthy parses the response of a backend server at its health path. It returns false if
+	// the server does not accept requests.
 	Healthy(status int, h http.Header) (Health, bool)
 }
 
-// Beside is the backend server that an instance was made for.
+// Beside is the local backend server as the settings name it.
 type Beside struct {
 	Mesh, Service string
 	// Addr is "ip:port"; "" if there is none.
 	Addr string
-	// LeaseSeconds is how long one announcement holds.
+	// LeaseSeconds is how long an announcement is valid.
 	LeaseSeconds int
 }
 
-// Health is what a backend server that takes work tells of itself.
+// Health is what a backend server that accepts requests reports at its health path.
 type Health struct {
 	Boot  string
 	Slots int
 }
 
-// Control is what a platform's operators and backend servers may ask for.
+// Control contains the operations for the operators and backend servers of a platform.
 type Control interface {
-	// Order hands a manifest in.
+	// Order submits a manifest.
 	Order(ctx context.Context, o *source.Order) (source.Answer, error)
 	// Newest returns the newest manifest of a mesh.
 	Newest(ctx context.Context, mesh string) (source.Answer, error)
-	// OrderRollout hands an order for a roll-out in.
+	// OrderRollout submits an order for a rollout.
 	OrderRollout(ctx context.Context, o *source.RolloutOrder) (source.Answer, error)
-	// NewestRollout returns the newest roll-out of a service.
+	// NewestRollout returns the newest rollout of a service.
 	NewestRollout(ctx context.Context, name source.ServiceName) (source.Answer, error)
-	// Announce takes in what a backend server says of itself. When it returns
-	// nil, what was said is in force here.
+	// Announce processes an announcement of a backend server. When it returns nil, the
+	// announcement is in force at this daemon.
 	Announce(a announce.Announcement) *result.Error
-	// End takes in that a start of a backend server is over.
+	// End records that the run of a backend server with this boot and start time is over.
 	End(boot string, started int64)
 }
 
-// platformControl joins the daemon's parts that Control asks for.
+// platformControl implements Control.
 type platformControl struct {
 	*Daemon
 	*announce.Server
 }
 
-// intend takes in which backend server a platform's settings name.
-func (d *Daemon) intend(platform Platform) {
-	var beside Beside
+// setConfiguredServer stores the local backend server that the settings of the platform name.
+func (d *Daemon) setConfiguredServer(platform Platform) {
+	var server Beside
 	if platform != nil {
-		beside = platform.Beside()
+		server = platform.Beside()
 	}
-	d.intended.Store(&beside)
+	d.configuredServer.Store(&server)
 }
 
-// IntendsOther reports whether a platform's settings name another backend server than those
-// in force.
+// IntendsOther reports whether the settings of platform name a different backend server than
+// the settings in force.
 func (d *Daemon) IntendsOther(platform Platform) bool {
-	return platform != nil && platform.Beside() != *d.intended.Load()
+	return platform != nil && platform.Beside() != *d.configuredServer.Load()
 }
 
-// origin is the service of the backend server beside this daemon: the one that the
-// settings name, else the one that is announced.
+// origin returns the service of the local backend server: the one that the settings name, else
+// the announced one, else "".
 func (d *Daemon) origin() string {
-	if service := d.intended.Load().Service; service != "" {
+	if service := d.configuredServer.Load().Service; service != "" {
 		return service
 	}
-	if service := d.beside.Load(); service != nil {
+	if service := d.announcedService.Load(); service != nil {
 		return *service
 	}
 	return ""
--- a/internal/process/daemon/reload.go
+++ b/internal/process/daemon/reload.go
@@ -7,18 +7,18 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// Reload takes in changed settings without a cut: new seeds and the backend server that a
-// platform names are in force at once, everything else at the next start. It logs which
-// keys have to wait.
+// Reload applies changed settings without interrupting requests. New seeds and the backend
+// server that a platform names take effect immediately, everything else at the next start.
+// Reload logs the changed keys that need a restart.
 func (d *Daemon) Reload(set settings.Settings, platform Platform) {
-	d.intend(platform)
+	d.setConfiguredServer(platform)
 	seeds := d.otherSeeds(set.Seeds)
 	d.mesh.SetSeeds(seeds)
-	d.log.Info("settings read again", "seeds", seeds, "beside", *d.intended.Load(), "wait_for_restart", differing(d.set, set))
+	d.log.Info("settings read again", "seeds", seeds, "beside", *d.configuredServer.Load(), "wait_for_restart", changedKeys(d.settings, set))
 }
 
-// differing names the keys of the first level that differ, but for the seeds.
-func differing(a, b settings.Settings) []string {
+// changedKeys returns the top-level keys other than "seeds" that differ between a and b.
+func changedKeys(a, b settings.Settings) []string {
 	var keys []string
 	x, y := reflect.ValueOf(a), reflect.ValueOf(b)
 	for i := range x.NumField() {
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -16,7 +16,7 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// The names of the control methods for roll-outs.
+// RPC methods for rollouts.
 const (
 	sourceOrderRollout = "Source.OrderRollout"
 	sourceReadRollout  = "Source.ReadRollout"
@@ -25,36 +25,38 @@
 )
 
 const (
-	// rolloutTick is how often a source looks at the roll-outs that run, and a daemon
-	// whether it has something to report.
+	// rolloutTick is the interval at which a source evaluates the running rollouts and a daemon
+	// checks whether a report is due.
 	rolloutTick = 100 * time.Millisecond
-	// reportLeast is the least time between two reports of a daemon, and reportEach what
-	// each daemon of the fleet adds to the usual time: however large the fleet is, the
-	// sources take in no more than 1/reportEach of them a second.
-	reportLeast = 250 * time.Millisecond
-	reportEach  = 5 * time.Millisecond
-	// reportMost is well below rollout.SilentAfter.
-	reportMost = time.Second
-	// reportTimeout bounds one report, stepTimeout the commit of one step.
+	// minReportInterval is the minimum time between two reports of a daemon. The usual interval
+	// is reportIntervalPerDaemon times the number of daemons, so that the sources receive at
+	// most 1/reportIntervalPerDaemon reports a second.
+	minReportInterval       = 250 * time.Millisecond
+	reportIntervalPerDaemon = 5 * time.Millisecond
+	// maxReportInterval is well below rollout.SilentAfter.
+	maxReportInterval = time.Second
+	// reportTimeout is the timeout of one report, stepTimeout that of the commit of one step.
 	reportTimeout = time.Second
 	stepTimeout   = 2 * time.Second
 )
 
-// The messages of the log about roll-outs.
+// Log messages about rollouts.
 const (
 	logRolloutOrder = "roll-out order answered"
 	logRolloutRead  = "roll-out read answered"
 	logRolloutStep  = "roll-out step decided"
 )
 
-func (d *Daemon) budget() canary.Budget {
-	return canary.Budget{Share: d.set.Exposure.Share, Slack: d.set.Exposure.Slack}
+// exposureBudget returns how many requests all daemons together may send to a version under
+// rollout.
+func (d *Daemon) exposureBudget() canary.Budget {
+	return canary.Budget{Share: d.settings.Exposure.Share, Slack: d.settings.Exposure.Slack}
 }
 
-// rolloutConfig is what the gateway keeps to.
+// rolloutConfig returns the rollout configuration of the gateway.
 func (d *Daemon) rolloutConfig() gateway.RolloutConfig {
 	return gateway.RolloutConfig{
-		Budget: d.budget(),
+		Budget: d.exposureBudget(),
 		Touch:  func() bool { return !d.mesh.Status().Stale },
 		Failed: func() {
 			select {
@@ -65,65 +67,67 @@
 	}
 }
 
-// OrderRollout hands an order for a roll-out in, here or at another source.
+// OrderRollout submits an order for a rollout to this source or another one.
 func (d *Daemon) OrderRollout(ctx context.Context, o *source.RolloutOrder) (source.Answer, error) {
-	began := time.Now()
-	s := d.anySource(ctx, sourceOrderRollout, *o, func(ctx context.Context) (source.Answer, error) { return d.source.OrderRollout(ctx, o) })
+	start := time.Now()
+	s := d.askSources(ctx, sourceOrderRollout, *o, func(ctx context.Context) (source.Answer, error) { return d.source.OrderRollout(ctx, o) })
 	d.metrics.Ordered(s.answer.Code)
 	d.operatorLog().Info(logRolloutOrder, "mesh", o.Mesh, "service", o.Service, "target", o.Target, "within", o.Within.String(), "abort", o.Abort,
-		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(began).String())
+		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
 }
 
-// NewestRollout returns the newest roll-out of a service, never one that is older than what
-// was told before the question.
+// NewestRollout returns the newest rollout of a service. The read is linearizable: it never
+// returns an older state than one returned before the call.
 func (d *Daemon) NewestRollout(ctx context.Context, name source.ServiceName) (source.Answer, error) {
-	began := time.Now()
-	s := d.anySource(ctx, sourceReadRollout, name, func(ctx context.Context) (source.Answer, error) { return d.source.ReadRollout(ctx, name) })
+	start := time.Now()
+	s := d.askSources(ctx, sourceReadRollout, name, func(ctx context.Context) (source.Answer, error) { return d.source.ReadRollout(ctx, name) })
 	stage := ""
 	if r := s.answer.Rollout; r != nil {
 		stage = r.Stage.String()
 	}
 	d.metrics.Read(s.answer.Code)
 	d.operatorLog().Info(logRolloutRead, "mesh", name.Mesh, "service", name.Service, "stage", stage,
-		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(began).String())
+		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
 }
 
-// OrderRollout takes an order in at a source.
+// OrderRollout submits an order for a rollout.
 func (s *sourceService) OrderRollout(o source.RolloutOrder, answer *source.Answer) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*answer, err = s.d.source.OrderRollout(ctx, &o)
 		return err
 	})
 }
 
-// ReadRollout asks for the newest roll-out of a service.
+// ReadRollout returns the newest rollout of a service.
 func (s *sourceService) ReadRollout(name source.ServiceName, answer *source.Answer) error {
-	return s.answer(submitTimeout, func(ctx context.Context) (err error) {
+	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*answer, err = s.d.source.ReadRollout(ctx, name)
 		return err
 	})
 }
 
-// RolloutReply tells where reports are taken in.
+// RolloutReply is the reply of Source.RolloutMet.
 type RolloutReply struct {
-	// Leader is the peer address of the source that leads, "" if it is not known.
+	// Leader is the peer address of the leader, which accepts the reports; "" if it is not
+	// known.
 	Leader string
 }
 
-// RolloutMet takes in a daemon's report, or passes it on to the leader.
+// RolloutMet accepts a daemon's report if this source is the leader, else forwards it to the
+// leader.
 func (s *sourceService) RolloutMet(r rollout.Report, reply *RolloutReply) error {
 	if s.d.source == nil {
 		return errNotSource
 	}
-	if s.d.rollouts.take(&r) {
+	if s.d.rollouts.accept(&r) {
 		reply.Leader = s.d.self.Addr
 		return nil
 	}
 	addr, known := s.d.memberAddr(s.d.source.Status().Lead)
 	if !known || addr == s.d.self.Addr {
-		return errNotLeading
+		return errNotLeader
 	}
 	reply.Leader = addr
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
@@ -131,15 +135,15 @@
 	return s.d.pool.Call(ctx, addr, sourceRolloutTold, r, &Empty{})
 }
 
-// RolloutTold is RolloutMet at a source that is taken for the leader.
+// RolloutTold is RolloutMet without forwarding. It is called at the presumed leader.
 func (s *sourceService) RolloutTold(r rollout.Report, _ *Empty) error {
-	if s.d.source == nil || !s.d.rollouts.take(&r) {
-		return errNotLeading
+	if s.d.source == nil || !s.d.rollouts.accept(&r) {
+		return errNotLeader
 	}
 	return nil
 }
 
-// reportRollouts tells the leader what this daemon meets while roll-outs run, until ctx ends.
+// reportRollouts sends this daemon's results to the leader while rollouts run, until ctx ends.
 func (d *Daemon) reportRollouts(ctx context.Context) {
 	ticker := time.NewTicker(rolloutTick)
 	defer ticker.Stop()
@@ -158,10 +162,10 @@
 			reporter.leader = ""
 			continue
 		}
-		if !reporter.due(time.Now(), len(d.mesh.Directory().Records), stagesOf(snap), failed) {
+		if !reporter.due(time.Now(), len(d.mesh.Directory().Records), hashStages(snap), failed) {
 			continue
 		}
-		r := rollout.Report{Node: d.set.Node, Incarnation: d.incarnation, Version: snap.Version}
+		r := rollout.Report{Node: d.settings.Node, Incarnation: d.incarnation, Version: snap.Version}
 		for _, t := range d.gateway.Rollouts() {
 			r.Services = append(r.Services, rollout.ServiceReport{
 				ServiceName: source.ServiceName{Mesh: t.Key.Mesh, Service: t.Key.Name}, Number: t.Number,
@@ -175,20 +179,23 @@
 	}
 }
 
-// reporter keeps the times of one daemon's reports.
+// reporter schedules one daemon's reports.
 type reporter struct {
+	// leader is the peer address of the leader, "" if it is not known.
 	leader string
-	turn   int
-	last   time.Time
-	// stages are those last told.
+	// turn counts the reports sent without a known leader; it selects the source to send to.
+	turn int
+	last time.Time
+	// stages is the hash of the stages at the last report.
 	stages uint64
-	// failed is set by a failure, changed by another stage, until the next report.
+	// failed is set by a failure of the target version, changed by a change of stage. Both are
+	// cleared by the next report.
 	failed, changed bool
 }
 
-// stagesOf names the stages of all roll-outs in force; other changes of the fleet's state
-// leave it as it is.
-func stagesOf(snap *snapshot.Snapshot) uint64 {
+// hashStages returns a hash of the stages of all rollouts in force. Other changes of the
+// fleet's state do not change it.
+func hashStages(snap *snapshot.Snapshot) uint64 {
 	var sum uint64
 	for key, r := range snap.Rollouts() {
 		sum += xxhash.Sum64String(fmt.Sprintf("%s %d %d", key, r.Number, r.Stage))
@@ -196,16 +203,16 @@
 	return sum
 }
 
-// due reports whether a report is to be sent now: soon after a failure of the target version,
-// twice as soon as usual after another stage came into force, else as often as the size of
-// the fleet allows.
+// due reports whether a report is to be sent now. The interval between reports depends on the
+// size of the fleet. It is half of that after a change of stage, and minReportInterval/2 after
+// a failure of the target version.
 func (r *reporter) due(now time.Time, daemons int, stages uint64, failed bool) bool {
 	r.failed = r.failed || failed
 	r.changed = r.changed || stages != r.stages
-	wait := min(max(reportLeast, time.Duration(daemons)*reportEach), reportMost)
+	wait := min(max(minReportInterval, time.Duration(daemons)*reportIntervalPerDaemon), maxReportInterval)
 	switch {
 	case r.failed:
-		wait = reportLeast / 2
+		wait = minReportInterval / 2
 	case r.changed:
 		wait /= 2
 	}
@@ -216,32 +223,33 @@
 	return true
 }
 
-// sendReport sends to the leader, or by way of another source while it is not known.
-func (d *Daemon) sendReport(ctx context.Context, to *reporter, r rollout.Report) error {
-	if d.source != nil && d.rollouts.take(&r) {
+// sendReport sends a report to the leader, or to one of the sources in turn while the leader is
+// not known.
+func (d *Daemon) sendReport(ctx context.Context, state *reporter, r rollout.Report) error {
+	if d.source != nil && d.rollouts.accept(&r) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if to.leader != "" {
-		return d.pool.Call(ctx, to.leader, sourceRolloutTold, r, &Empty{})
+	if state.leader != "" {
+		return d.pool.Call(ctx, state.leader, sourceRolloutTold, r, &Empty{})
 	}
 	sources := d.sources()
 	if len(sources) == 0 {
 		return errNotSource
 	}
-	to.turn++
-	member := sources[to.turn%len(sources)]
-	if member.Node == d.set.Node {
+	state.turn++
+	member := sources[state.turn%len(sources)]
+	if member.Node == d.settings.Node {
 		return errors.New("no leader is known yet")
 	}
 	var reply RolloutReply
 	err := d.pool.Call(ctx, member.Peer, sourceRolloutMet, r, &reply)
-	to.leader = reply.Leader
+	state.leader = reply.Leader
 	return err
 }
 
-// stepRefused reports whether a step was turned down for good: the next look decides anew.
+// stepRefused reports whether a step was not committed. The next tick then decides again.
 func stepRefused(a source.Answer, err error) bool {
 	return err != nil || (a.Code != result.Accepted && a.Code != result.AlreadyAccepted)
 }
--- a/internal/process/daemon/rollout_lead.go
+++ b/internal/process/daemon/rollout_lead.go
@@ -13,26 +13,28 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// rollouts drives the decisions on roll-outs at a source.
-type rollouts struct {
+// rolloutDriver decides the steps of rollouts on the leader and commits them. Every source has
+// one; those that do not lead only follow the state.
+type rolloutDriver struct {
 	d *Daemon
 
 	mu   sync.Mutex
 	core *rollout.Core
-	// leads is set while this source leads and has applied what earlier leaders accepted.
+	// leads is set while this source is the leader and has applied all entries that earlier
+	// leaders accepted.
 	leads bool
-	// watched is set after the first look at the log's state.
+	// watched is set after the core has seen the state of the log for the first time.
 	watched bool
-	// stepping names the services whose step is not committed yet.
-	stepping map[source.ServiceName]bool
+	// pending contains the services with a step that is being committed.
+	pending map[source.ServiceName]bool
 }
 
-func newRollouts(d *Daemon) *rollouts {
-	return &rollouts{d: d, core: rollout.New(d.budget()), stepping: map[source.ServiceName]bool{}}
+func newRolloutDriver(d *Daemon) *rolloutDriver {
+	return &rolloutDriver{d: d, core: rollout.New(d.exposureBudget()), pending: map[source.ServiceName]bool{}}
 }
 
-// take takes a report in, if this source leads.
-func (r *rollouts) take(report *rollout.Report) bool {
+// accept adds a report to the core if this source is the leader, and reports whether it is.
+func (r *rolloutDriver) accept(report *rollout.Report) bool {
 	if r == nil {
 		return false
 	}
@@ -44,8 +46,8 @@
 	return r.leads
 }
 
-// run decides until ctx ends.
-func (r *rollouts) run(ctx context.Context) {
+// run evaluates the rollouts at each tick until ctx ends.
+func (r *rolloutDriver) run(ctx context.Context) {
 	ticker := time.NewTicker(rolloutTick)
 	defer ticker.Stop()
 	for {
@@ -60,12 +62,12 @@
 	}
 }
 
-// tick looks at the roll-outs and returns the steps that are to be committed.
-func (r *rollouts) tick(now time.Time) []source.RolloutStep {
+// tick evaluates the rollouts and returns the steps to commit.
+func (r *rolloutDriver) tick(now time.Time) []source.RolloutStep {
 	state, dir := r.d.source.State(), r.d.mesh.Directory()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	services := r.services(dir.Snapshot, state)
+	services := r.activeServices(dir.Snapshot, state)
 	if state.Version > 0 {
 		r.core.Watch(now, time.Now(), !r.watched, services)
 		r.watched = true
@@ -78,22 +80,23 @@
 	if len(services) == 0 {
 		return nil
 	}
-	f := fleetOf(dir, services)
+	f := countFleet(dir, services)
 	f.Version = state.Version
 	var steps []source.RolloutStep
 	for _, step := range r.core.Tick(now, f) {
-		if !r.stepping[step.ServiceName] {
-			r.stepping[step.ServiceName] = true
+		if !r.pending[step.ServiceName] {
+			r.pending[step.ServiceName] = true
 			steps = append(steps, step)
 		}
 	}
 	return steps
 }
 
-// services are those about whose versions something is to be decided, as the log has them:
-// what is in force here may be a step behind.
-func (r *rollouts) services(snap *snapshot.Snapshot, state *fleet.State) []rollout.Service {
-	if !r.d.set.Servers.Rollouts {
+// activeServices returns the services that need a decision: those with a running rollout and
+// those without any rollout yet. The rollouts are taken from the log, because the version in
+// force at this daemon may be a step behind.
+func (r *rolloutDriver) activeServices(snap *snapshot.Snapshot, state *fleet.State) []rollout.Service {
+	if !r.d.settings.Servers.Rollouts {
 		return nil
 	}
 	var list []rollout.Service
@@ -110,24 +113,25 @@
 	return list
 }
 
-// fleetOf counts the servers of the services by their software versions.
-func fleetOf(dir *directory.Directory, services []rollout.Service) *rollout.Fleet {
+// countFleet counts the servers of the services by software version.
+func countFleet(dir *directory.Directory, services []rollout.Service) *rollout.Fleet {
 	f := &rollout.Fleet{Services: services}
-	at := map[snapshot.ServiceKey]map[string]rollout.Side{}
+	sides := map[snapshot.ServiceKey]map[string]rollout.Side{}
 	for _, s := range services {
-		at[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}] = s.Sides
+		sides[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}] = s.Sides
 	}
 	for _, record := range dir.Records {
 		f.Daemons = append(f.Daemons, record.Node.Name)
 		for i := range record.Servers {
-			count(at, &record.Servers[i], record.Leaving)
+			countServer(sides, &record.Servers[i], record.Leaving)
 		}
 	}
 	return f
 }
 
-func count(at map[snapshot.ServiceKey]map[string]rollout.Side, s *presence.Server, leaving bool) {
-	sides, wanted := at[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}]
+// countServer adds a server that accepts requests to the side of its software version.
+func countServer(all map[snapshot.ServiceKey]map[string]rollout.Side, s *presence.Server, leaving bool) {
+	sides, wanted := all[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}]
 	if !wanted || leaving || !s.State.TakesWork() {
 		return
 	}
@@ -140,23 +144,23 @@
 	sides[s.Version] = side
 }
 
-// commit puts a step into the log.
-func (r *rollouts) commit(ctx context.Context, step source.RolloutStep) {
+// commit appends a step to the replicated log.
+func (r *rolloutDriver) commit(ctx context.Context, step source.RolloutStep) {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	answer, err := r.d.source.StepRollout(ctx, step)
 	r.mu.Lock()
-	delete(r.stepping, step.ServiceName)
+	delete(r.pending, step.ServiceName)
 	r.mu.Unlock()
 	stage := step.Stage
 	if step.Number == 0 {
 		stage = fleet.Admitted
 	}
 	log := r.d.operatorLog().WithValues("mesh", step.Mesh, "service", step.Service, "number", step.Number,
-		"stage", stage.String(), "servers", step.Servers, "why", step.Why, "result", answer.Code.String(), "took", time.Since(began).String())
+		"stage", stage.String(), "servers", step.Servers, "why", step.Why, "result", answer.Code.String(), "took", time.Since(start).String())
 	if stepRefused(answer, err) {
-		log.Info("roll-out step not committed; it is decided anew", "detail", answer.Detail)
+		log.Info("roll-out step not committed; the next tick decides again", "detail", answer.Detail)
 		return
 	}
 	log.Info(logRolloutStep)
--- a/internal/process/daemon/rollout_test.go
+++ b/internal/process/daemon/rollout_test.go
@@ -11,8 +11,9 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// TestReportsAreBounded counts the reports of a daemon within ten seconds: a storm of other
-// versions adds none, a stage one, and failures no more than eight a second.
+// TestReportsAreBounded checks the number of reports of a daemon within ten seconds. Versions
+// that change no stage add no reports, a change of stage adds one, and failures cause at most
+// eight reports a second.
 func TestReportsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	count := func(daemons int, stages func(i int) uint64, failed func(i int) bool) int {
@@ -34,7 +35,8 @@
 	c.Check(count(200, same, func(int) bool { return true }) <= 81, qt.IsTrue)
 }
 
-// TestStagesOf is the same for every version with the same stages, and another for each stage.
+// TestStagesOf checks that the hash is the same for versions with the same stages and different
+// for each stage.
 func TestStagesOf(t *testing.T) {
 	c := qt.New(t)
 	state, err := fleet.Empty().Accept(&manifest.Manifest{Mesh: "m", Version: 1, Services: []manifest.Service{{Name: "s"}}})
@@ -42,7 +44,7 @@
 	of := func(s *fleet.State) uint64 {
 		snap, err := snapshot.Compile(s)
 		c.Assert(err, qt.IsNil)
-		return stagesOf(snap)
+		return hashStages(snap)
 	}
 	r := &fleet.Rollout{Number: 1, Version: "v1", Target: "v2", Stage: fleet.Canary}
 	canary, err := state.SetRollout("m", "s", r)
--- a/internal/process/daemon/sources.go
+++ b/internal/process/daemon/sources.go
@@ -7,25 +7,25 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// configured returns the names of the sources in the settings.
-func (d *Daemon) configured() []string {
+// configuredSources returns the names of the sources in the settings.
+func (d *Daemon) configuredSources() []string {
 	var names []string
-	for _, m := range d.set.Source.Members {
+	for _, m := range d.settings.Source.Members {
 		names = append(names, m.Node)
 	}
 	return names
 }
 
-// sources returns the sources as far as they are known here: on a source those
-// that vote, for members may have been replaced since the settings were
-// written, else those of the settings.
+// sources returns the sources known to this daemon. On a source these are the voting members,
+// because members may have been replaced since the settings were written; elsewhere they are
+// the members in the settings.
 func (d *Daemon) sources() []settings.Member {
 	if d.source == nil {
-		return d.set.Source.Members
+		return d.settings.Source.Members
 	}
 	names := d.source.Status().Members
 	if len(names) == 0 {
-		return d.set.Source.Members
+		return d.settings.Source.Members
 	}
 	var list []settings.Member
 	for _, name := range names {
@@ -36,28 +36,28 @@
 	return list
 }
 
-// otherSources returns the peer addresses of the sources but this one.
+// otherSources returns the peer addresses of all sources except this daemon.
 func (d *Daemon) otherSources() []string {
 	var list []string
 	for _, m := range d.sources() {
-		if m.Node != d.set.Node {
+		if m.Node != d.settings.Node {
 			list = append(list, m.Peer)
 		}
 	}
 	return list
 }
 
-// memberAddr returns the peer address of a source. One that the settings do not
-// name is known by its IP number.
+// memberAddr returns the peer address of a source. If sources may join, the name of a source
+// that the settings do not contain is its IP address; its port is this daemon's peer port.
 func (d *Daemon) memberAddr(node string) (string, bool) {
-	for _, m := range d.set.Source.Members {
+	for _, m := range d.settings.Source.Members {
 		if m.Node == node {
 			return m.Peer, true
 		}
 	}
-	if _, err := netip.ParseAddr(node); err != nil || !d.set.Source.Join {
+	if _, err := netip.ParseAddr(node); err != nil || !d.settings.Source.Join {
 		return "", false
 	}
-	_, port, err := net.SplitHostPort(d.set.Listen.Peer)
+	_, port, err := net.SplitHostPort(d.settings.Listen.Peer)
 	return net.JoinHostPort(node, port), err == nil
 }
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -9,41 +9,44 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// drainLimit bounds how long a closing listener takes what still comes.
-const drainLimit = time.Second
+// listenerDrainTimeout is the maximum time that a closing listener keeps accepting connections
+// that still arrive.
+const listenerDrainTimeout = time.Second
 
-// leaveSpread is how long the news that a daemon leaves takes to all others.
-const leaveSpread = 150 * time.Millisecond
+// leavePropagation is how long it takes until all other daemons know that this daemon is
+// leaving.
+const leavePropagation = 150 * time.Millisecond
 
-// httpServer is the server of one listener with what its planned stop needs.
+// httpServer is the server of one listener with the wrappers for its graceful shutdown.
 type httpServer struct {
 	*http.Server
 	listener *graceful.Listener
 	tracker  *graceful.Tracker
 }
 
-// graceful puts a planned stop around the server of a listener.
-func (d *Daemon) graceful(name string, server *http.Server) *httpServer {
-	leaving := result.Errorf(result.Draining, "this daemon stops; send the request to another")
+// newHTTPServer prepares the server of a listener for graceful shutdown.
+func (d *Daemon) newHTTPServer(name string, server *http.Server) *httpServer {
+	leaving := result.Errorf(result.Draining, "this daemon is stopping; send the request to another one")
 	tracker := graceful.NewTracker(result.Response(leaving, http.StatusRequestTimeout, time.Second))
 	server.Handler = tracker.Guard(server.Handler)
 	server.ConnState = tracker.ConnState
 	server.ConnContext = tracker.ConnContext
-	raw := d.listeners[name].(graceful.Deadline)
-	return &httpServer{Server: server, listener: tracker.Listen(d.limits[name], raw), tracker: tracker}
+	unlimited := d.listeners[name].(graceful.Deadline)
+	return &httpServer{Server: server, listener: tracker.Listen(d.limits[name], unlimited), tracker: tracker}
 }
 
-// stopOrder is the order in which the listeners end: what callers and servers
-// use first; the metrics tell of the stop until its end.
+// stopOrder is the order in which the listeners are shut down: those of callers and backend
+// servers first, metrics last so that the whole stop can be observed.
 var stopOrder = [...]string{"caller", "health", "announce", "control", "operator", "peer", "metrics"}
 
+// drainCallers closes the caller listener after the connections that still arrive are accepted.
 func (d *Daemon) drainCallers(servers map[string]*httpServer) {
 	if callers := servers["caller"]; callers != nil {
-		callers.listener.Drain(drainLimit)
+		callers.listener.Drain(listenerDrainTimeout)
 	}
 }
 
-// inProgress counts the requests on the backend servers beside this daemon.
+// inProgress counts the running and queued requests of the local backend servers.
 func (d *Daemon) inProgress() int {
 	n := 0
 	for _, o := range d.gateway.Occupancy() {
@@ -52,37 +55,36 @@
 	return n
 }
 
-// stop leaves the fleet first, then waits for what is in progress. New callers
-// find the port closed from the start; those on an open connection are told to
-// close it with their next answer, and idle connections get a last answer
-// (package graceful): http.Server drops a request that it reads after Shutdown
-// began.
+// stop leaves the fleet first, then waits for the requests in progress. Unless Stop.Serve is
+// set, the caller port is closed from the start. Callers with an open connection are asked to
+// close it with their next response, and idle connections get a final response (see package
+// graceful), because http.Server drops a request that it reads after Shutdown was called.
 func (d *Daemon) stop(servers map[string]*httpServer) {
 	d.leaving.Store(true)
-	began := time.Now()
-	d.log.Info("stopping", "leave_delay", d.set.Stop.LeaveDelay.String(), "timeout", d.set.Stop.Timeout.String(), "in_progress", d.inProgress())
-	defer func() { d.log.Info("stopped", "took", time.Since(began).String(), "cut", d.inProgress()) }()
-	if d.set.Stop.Serve {
-		// Callers that have no other daemon come as before until they know; the
-		// server beside works for everyone meanwhile.
-		time.Sleep(d.set.Stop.LeaveDelay)
+	start := time.Now()
+	d.log.Info("stopping", "leave_delay", d.settings.Stop.LeaveDelay.String(), "timeout", d.settings.Stop.Timeout.String(), "in_progress", d.inProgress())
+	defer func() { d.log.Info("stopped", "took", time.Since(start).String(), "cut", d.inProgress()) }()
+	if d.settings.Stop.Serve {
+		// Callers without another daemon keep sending requests here until they learn of
+		// the stop. The local backend server serves all requests in the meantime.
+		time.Sleep(d.settings.Stop.LeaveDelay)
 		d.mesh.Leave()
-		time.Sleep(leaveSpread)
+		time.Sleep(leavePropagation)
 		d.gateway.Leave()
 	} else {
 		d.mesh.Leave()
 		d.gateway.Leave()
 		d.drainCallers(servers)
-		time.Sleep(d.set.Stop.LeaveDelay)
+		time.Sleep(d.settings.Stop.LeaveDelay)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), d.set.Stop.Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Stop.Timeout)
 	defer cancel()
 	for _, name := range stopOrder {
 		server := servers[name]
 		if server == nil {
 			continue
 		}
-		server.listener.Drain(drainLimit)
+		server.listener.Drain(listenerDrainTimeout)
 		server.tracker.Retire()
 		if err := ignoreClosed(server.Shutdown(ctx)); err != nil {
 			d.log.Error(err, "stop listener", "listener", name)
--- a/internal/process/daemon/stop_test.go
+++ b/internal/process/daemon/stop_test.go
@@ -12,14 +12,14 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// TestEveryListenerStops holds that a planned stop ends each listener that the
-// settings can name; one left open would hold the process until it is killed.
+// TestEveryListenerStops checks that a planned stop closes every listener that the settings can
+// configure. The process would not exit while one is open.
 func TestEveryListenerStops(t *testing.T) {
 	c := qt.New(t)
 	d := startDaemon(c, "a", nil, func(set *settings.Settings) {
 		set.Listen.Health, set.Listen.Metrics, set.Listen.Control = "127.0.0.1:0", "127.0.0.1:0", ""
 	})
-	apply(c, d)
+	applyManifest(c, d)
 	resp, err := http.Get("http://" + d.Addr("metrics") + "/metrics")
 	c.Assert(err, qt.IsNil)
 	body, err := io.ReadAll(resp.Body)
@@ -30,7 +30,7 @@
 	go func() { d.stop(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		c.Fatal("the daemon did not end")
+	case <-time.After(waitTimeout):
+		c.Fatal("the daemon did not stop")
 	}
 }
--- a/internal/process/daemon/submit_test.go
+++ b/internal/process/daemon/submit_test.go
@@ -22,30 +22,30 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// fakeSource answers submissions as it was told to.
+// fakeSource answers submissions with a configured answer.
 type fakeSource struct {
 	answer source.Answer
-	// lose cuts the connection after the manifest came in.
-	lose bool
-	err  error
-	conn net.Conn
-	// orders takes what came in, if it is set.
+	// dropConn closes the connection after the manifest was received.
+	dropConn bool
+	err      error
+	conn     net.Conn
+	// orders receives each submitted order, if it is set.
 	orders chan source.Order
 }
 
-// Submit is the RPC method.
+// Submit implements the RPC method Source.Submit.
 func (f *fakeSource) Submit(o source.Order, answer *source.Answer) error {
 	if f.orders != nil {
 		f.orders <- o
 	}
-	if f.lose {
+	if f.dropConn {
 		_ = f.conn.Close()
 	}
 	*answer = f.answer
 	return f.err
 }
 
-// Read is the RPC method.
+// Read implements the RPC method Source.Read.
 func (f *fakeSource) Read(_ string, answer *source.Answer) error {
 	*answer = f.answer
 	return f.err
@@ -66,19 +66,19 @@
 	return listener.Addr().String()
 }
 
-// nobody is an address at which nothing listens.
-func nobody(c *qt.C) string {
+// closedAddr returns an address without a listener.
+func closedAddr(c *qt.C) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Assert(listener.Close(), qt.IsNil)
 	return listener.Addr().String()
 }
 
-// TestSubmitSaysUnknownWhereItIs submits through a daemon that is no source.
-// "Not run" is said only where no source can have taken the manifest in.
+// TestSubmitSaysUnknownWhereItIs submits through a daemon that is not a source. The result may
+// be "not run" only if no source can have accepted the manifest.
 func TestSubmitSaysUnknownWhereItIs(t *testing.T) {
 	accepted := &fakeSource{answer: source.Answer{Code: result.AlreadyAccepted, Fleet: 7}}
-	lost := &fakeSource{lose: true}
+	lost := &fakeSource{dropConn: true}
 	noQuorum := &fakeSource{answer: source.Answer{Code: result.NoQuorum, Detail: "no leader"}}
 	fullDisk := &fakeSource{answer: source.Answer{Code: result.StorageFailed, Detail: "disk full"}}
 	notSource := &fakeSource{err: errors.New("not a source")}
@@ -105,13 +105,14 @@
 	}
 }
 
-// newClient is a daemon beside no disk, with these sources.
+// newClient returns a daemon that is not a source and uses the given sources. A nil source
+// stands for an address without a listener.
 func newClient(c *qt.C, log logr.Logger, sources []*fakeSource) *daemon.Daemon {
 	set := settings.Defaults()
 	set.Node, set.Domain, set.DataDir = "n1", "d1", filepath.Join(c.TempDir(), "data")
 	set.Listen = settings.Listen{Caller: "127.0.0.1:0", Announce: "127.0.0.1:0", Peer: "127.0.0.1:0", Operator: "127.0.0.1:0"}
 	for _, f := range sources {
-		addr := nobody(c)
+		addr := closedAddr(c)
 		if f != nil {
 			own := *f
 			addr = own.listen(c)
@@ -123,9 +124,9 @@
 	return d
 }
 
-// TestReadTellsWhatIsMissing holds that a manifest without its text is not told as none,
-// and that each read has a line: while sources answered reads with "no configuration was
-// accepted yet", logs and metrics showed nothing of it.
+// TestReadTellsWhatIsMissing checks that a manifest without its text is not reported as a
+// missing manifest, and that each read is logged. When sources wrongly answered reads with "no
+// configuration was accepted yet", neither logs nor metrics showed it.
 func TestReadTellsWhatIsMissing(t *testing.T) {
 	winner := &source.Accepted{Version: 99, Fleet: 30}
 	for name, row := range map[string]struct {
@@ -152,7 +153,7 @@
 	}
 }
 
-// operatorLines returns a logger whose lines about operators are put into lines.
+// operatorLines returns a logger that appends the lines of the operators' logger to lines.
 func operatorLines(lines *[]string) logr.Logger {
 	return funcr.New(func(logger, line string) {
 		if logger == telemetry.OperatorsLogger {
@@ -161,8 +162,7 @@
 	}, funcr.Options{})
 }
 
-// TestOrderHasItsLine holds that the log tells what an operator handed in, on which base,
-// and what was answered.
+// TestOrderHasItsLine checks that an order is logged with its base and its answer.
 func TestOrderHasItsLine(t *testing.T) {
 	c := qt.New(t)
 	var lines []string
@@ -172,9 +172,9 @@
 	c.Assert(lines, qt.HasLen, 1)
 	c.Check(lines[0], qt.Contains, `"msg"="order answered" "node"="n1" "mesh"="m" "version"=99 "base"="97" "result"="100 Accepted" "fleet"=31`)
 
-	// Where one source may have taken it in, what the next one says is not the outcome.
+	// If a source may have accepted the order, the answer of the next source is not the outcome.
 	lines = nil
-	d = newClient(c, operatorLines(&lines), []*fakeSource{{lose: true}, {answer: source.Answer{Code: result.NoQuorum}}})
+	d = newClient(c, operatorLines(&lines), []*fakeSource{{dropConn: true}, {answer: source.Answer{Code: result.NoQuorum}}})
 	_, err = d.Order(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(lines, qt.HasLen, 1)
--- a/internal/process/daemon/token_test.go
+++ b/internal/process/daemon/token_test.go
@@ -11,8 +11,9 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// TestNoStartWithoutToken starts no daemon whose operator API would be open
-// against its operators' wish.
+// TestNoStartWithoutToken checks that a daemon does not start if its operator API would be
+// unintentionally open: the token file is missing, or there is no token and the listener is not
+// on a loopback address.
 func TestNoStartWithoutToken(t *testing.T) {
 	c := qt.New(t)
 	set := settings.Defaults()
--- a/internal/process/daemon/trace_test.go
+++ b/internal/process/daemon/trace_test.go
@@ -14,7 +14,7 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// spanLine is what the test reads of a span in the file.
+// spanLine contains the fields of a span in the trace file that the test needs.
 type spanLine struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestTraceThroughTwoDaemons follows one request by its spans: from the caller's
-// own span through the daemon it reached and the daemon beside the backend
-// server to the span that the backend server is told.
+// TestTraceThroughTwoDaemons checks the chain of spans of one request: the caller's span, the
+// spans of the daemon that received the request, those of the backend server's local daemon,
+// and the span in the header that the backend server receives.
 func TestTraceThroughTwoDaemons(t *testing.T) {
 	t.Parallel()
 	const (
@@ -52,11 +52,11 @@
 	}
 	a := startDaemon(c, "a", nil, traced("a"))
 	b := startDaemon(c, "b", a, traced("b"))
-	apply(c, a, b)
-	told := make(chan string, 1)
+	applyManifest(c, a, b)
+	traceparent := make(chan string, 1)
 	startBackend(c, b, a, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/traced" {
-			told <- r.Header.Get("Traceparent")
+			traceparent <- r.Header.Get("Traceparent")
 		}
 	})
 	req, err := http.NewRequest(http.MethodGet, "http://"+a.Addr("caller")+"/traced", nil)
@@ -77,7 +77,7 @@
 				installs = append(installs, s.SpanContext.TraceID)
 				continue
 			}
-			c.Assert(s.SpanContext.TraceID, qt.Equals, traceID, qt.Commentf("sample_ratio is 0: no other trace"))
+			c.Assert(s.SpanContext.TraceID, qt.Equals, traceID, qt.Commentf("sample_ratio is 0, so there is no other trace"))
 			byName[file+" "+s.Name] = s
 		}
 	}
@@ -88,7 +88,7 @@
 		c.Assert(s.Parent.SpanID, qt.Equals, parent, qt.Commentf("%s", hop))
 		parent = s.SpanContext.SpanID
 	}
-	c.Assert(installs, qt.HasLen, 2, qt.Commentf("one for each daemon"))
+	c.Assert(installs, qt.HasLen, 2, qt.Commentf("one install span per daemon"))
 	c.Assert(installs[0], qt.Equals, installs[1])
-	c.Assert(<-told, qt.Equals, "00-"+traceID+"-"+parent+"-01")
+	c.Assert(<-traceparent, qt.Equals, "00-"+traceID+"-"+parent+"-01")
 }
--- a/internal/process/daemon/wire_test.go
+++ b/internal/process/daemon/wire_test.go
@@ -18,29 +18,29 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// TestMessagesTravelWhole holds that what one process says to another arrives as it was
-// said. Operators once read an older manifest than the one that had just been accepted:
-// the text in the leader's answer had no name in CBOR, so that it was left out, and every
-// source but the leader said "no configuration was accepted yet" (216). With six sources
-// one read in six was answered, and the last of those was from before the change. Nothing
-// had failed: an encoder leaves a field out without a word.
+// TestMessagesTravelWhole checks that messages between processes survive encoding and decoding
+// unchanged. It covers the arguments and replies of all control methods and everything that
+// sources write to their logs, once with all fields set and once with all pointers to a zero
+// value.
 //
-// So every argument and reply of the control methods, and everything the sources put in
-// their logs, is sent with all fields set, and with every pointer to a zero.
+// Encoders silently omit fields. The text in the leader's answer once had no CBOR name and was
+// omitted, so all sources but the leader answered reads with "no configuration was accepted
+// yet" (216). With six sources one read in six succeeded, and operators read an older manifest
+// than the one just accepted, because their last successful read was from before the change.
 func TestMessagesTravelWhole(t *testing.T) {
 	for name, typ := range controlTypes() {
-		t.Run("gob "+name, func(t *testing.T) { travels(t, typ, throughGob) })
+		t.Run("gob "+name, func(t *testing.T) { testRoundTrip(t, typ, gobRoundTrip) })
 	}
 	for _, typ := range []reflect.Type{
 		reflect.TypeFor[source.Command](), reflect.TypeFor[source.Answer](), reflect.TypeFor[source.Accepted](), reflect.TypeFor[once.Reply](),
 	} {
-		t.Run("cbor "+typ.String(), func(t *testing.T) { travels(t, typ, throughCBOR(quorum.Encode)) })
+		t.Run("cbor "+typ.String(), func(t *testing.T) { testRoundTrip(t, typ, cborRoundTrip(quorum.Encode)) })
 	}
 	for _, typ := range []reflect.Type{
 		reflect.TypeFor[claims.Command](), reflect.TypeFor[fleet.Delta](),
 		reflect.TypeFor[replica.HardState](), reflect.TypeFor[replica.Snapshot](), reflect.TypeFor[replica.Entry](), reflect.TypeFor[replica.Membership](),
 	} {
-		t.Run("cbor "+typ.String(), func(t *testing.T) { travels(t, typ, throughCBOR(cbor.Marshal)) })
+		t.Run("cbor "+typ.String(), func(t *testing.T) { testRoundTrip(t, typ, cborRoundTrip(cbor.Marshal)) })
 	}
 }
 
@@ -59,18 +59,18 @@
 	return types
 }
 
-// travels sends values of a type through an encoding.
-func travels(t *testing.T, typ reflect.Type, through func(sent, got any) error) {
+// testRoundTrip checks that values of a type survive encoding and decoding.
+func testRoundTrip(t *testing.T, typ reflect.Type, roundTrip func(sent, got any) error) {
 	c := qt.New(t)
 	for _, fill := range []filler{{}, {zeroPointees: true}} {
 		sent, got := reflect.New(typ), reflect.New(typ)
 		fill.set(c, sent.Elem(), typ.String())
-		c.Assert(through(sent.Interface(), got.Interface()), qt.IsNil)
+		c.Assert(roundTrip(sent.Interface(), got.Interface()), qt.IsNil)
 		c.Check(got.Interface(), qt.DeepEquals, sent.Interface())
 	}
 }
 
-func throughGob(sent, got any) error {
+func gobRoundTrip(sent, got any) error {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(sent); err != nil {
 		return err
@@ -78,7 +78,7 @@
 	return gob.NewDecoder(&buf).Decode(got)
 }
 
-func throughCBOR(encode func(any) ([]byte, error)) func(sent, got any) error {
+func cborRoundTrip(encode func(any) ([]byte, error)) func(sent, got any) error {
 	return func(sent, got any) error {
 		raw, err := encode(sent)
 		if err != nil {
@@ -88,9 +88,9 @@
 	}
 }
 
-// filler sets every field of a value to something else than zero.
+// filler sets every field of a value to a non-zero value.
 type filler struct {
-	// zeroPointees sets pointers to numbers, texts and truth values to a zero.
+	// zeroPointees makes pointers to numbers, strings and booleans point to zero values.
 	zeroPointees bool
 	count        int
 }
@@ -130,7 +130,7 @@
 	case reflect.Struct:
 		f.setStruct(c, v, path)
 	default:
-		c.Fatalf("%s: nothing is known of %s", path, v.Type())
+		c.Fatalf("%s: filler does not support type %s", path, v.Type())
 	}
 }
 
@@ -144,7 +144,7 @@
 		if field.Name == "_" {
 			continue
 		}
-		c.Assert(field.IsExported(), qt.IsTrue, qt.Commentf("%s.%s does not travel", path, field.Name))
+		c.Assert(field.IsExported(), qt.IsTrue, qt.Commentf("%s.%s is not exported, so it is not encoded", path, field.Name))
 		f.set(c, v.Field(i), path+"."+field.Name)
 	}
 }
