--- a/internal/request/balance/balance.go
+++ b/internal/request/balance/balance.go
@@ -1,12 +1,14 @@
-// Package balance picks the backend server for one attempt: the one that is
-// expected to answer soonest, with a handicap for servers in other failure
-// domains and regions. Of many servers a random few are compared (Mitzenmacher,
-// "The Power of Two Choices in Randomized Load Balancing", 2001).
+// Package balance picks the backend server for one attempt: the one with the
+// shortest expected time to answer, plus a penalty for servers in other failure
+// domains and regions. If there are many servers, a few random ones are compared
+// (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 //
-// What is expected of a server follows from what the daemon beside it told with
-// its last answer, as long as that is fresh, and from what this daemon has in
-// progress there since; of one beside this daemon, from its gate. A server that
-// cannot be reached or fails is ejected for a while that grows.
+// The expected time is derived from the load that the daemon on the server's
+// instance reported with its last answer, while that is fresh, and from the
+// attempts that this daemon has started there since. For servers on this
+// daemon's own instance, the load comes from their admission control. A server
+// that cannot be reached or that fails is ejected for an exponentially growing
+// time.
 //
 // The package does no I/O and reads no clock.
 package balance
@@ -18,104 +20,105 @@
 )
 
 const (
-	// draws is how often a tier is drawn from before it is searched.
-	draws = 4
-	// compared is the most servers that one pick compares.
-	compared = 16
-	// noise keeps daemons that know the same from picking the same.
-	noise = 0.1
+	// randomDraws is how many random draws from a tier precede a linear search.
+	randomDraws = 4
+	// maxCompared is the maximum number of servers compared by one pick.
+	maxCompared = 16
+	// costJitter prevents daemons with the same data from picking the same server.
+	costJitter = 0.1
 )
 
-// Input is what one pick depends on.
+// Input is what a pick depends on.
 type Input struct {
 	Now time.Time
 	// Seed is a random number.
 	Seed uint64
-	// Tried are the servers that this request was sent to already; their
-	// failure domains come last.
+	// Tried are the servers to which this request was sent already. Other servers
+	// in their failure domains are used last.
 	Tried []*directory.Candidate
-	// Pin, if not 0, picks by it alone.
+	// Pin, if not 0, determines the server by rendezvous hashing alone.
 	Pin uint64
-	// Target is the time within which an answer is worth most; 0 is not known.
+	// Target is the time within which an answer has its full value; 0 if unknown.
 	Target time.Duration
-	// Bytes is the length of a large body, 0 of a small one.
+	// Bytes is the length of the body if it is large, else 0.
 	Bytes int64
-	// Answer is the expected length of a large answer, 0 of a small one.
+	// Answer is the expected length of the answer if it is large, else 0.
 	Answer int64
-	// Arm bounds the choice while a roll-out runs.
+	// Arm restricts the choice during a roll-out.
 	Arm Arm
 }
 
-// Arm is the part of a service's servers that requests may go to. The zero Arm is all.
+// Arm is a subset of a service's servers. The zero Arm contains all of them.
 type Arm struct {
-	// Version is the software version of its servers; "" with Bound unset is any.
+	// Version is the software version of the servers in the arm. It applies only
+	// if Bound is set.
 	Version string
 	Bound   bool
-	// First, if not 0, takes only so many of them: the same ones at each daemon that knows
-	// the same servers.
+	// First, if not 0, limits the arm to that many servers. Daemons that know the
+	// same servers select the same ones.
 	First int
 }
 
-// Load is how full a backend server is, as its gate counts.
+// Load is the load of a backend server as counted by its admission control.
 type Load struct {
-	// Running and Queued are requests, Limit the most that may run now.
+	// Running and Queued count requests; Limit is how many may run now.
 	Running, Queued, Limit int
 	// Service is the smoothed time from the start of a request to its answer; 0
-	// is not known.
+	// if unknown.
 	Service time.Duration
-	// Idle is how long ago Service was measured.
+	// Idle is the time since Service was measured.
 	Idle time.Duration
-	// Failing is the smoothed share of the requests there that fail.
+	// Failing is the smoothed fraction of requests that fail at the server.
 	Failing float64
-	// Inflow is the bytes of large bodies on their way there over the link, Outflow
-	// those of large answers that have to leave it.
+	// Inflow is the bytes of large bodies in transit to the server's instance;
+	// Outflow is the bytes of large answers that still have to leave it.
 	Inflow, Outflow int64
 }
 
-// Local tells the load of the servers beside this daemon, which its own gates
-// know exactly.
+// Local provides the load of servers on this daemon's own instance, which their
+// admission control knows exactly.
 type Local interface {
-	// LocalLoad returns the load, and whether the server is known.
+	// LocalLoad returns the load and whether the server is known.
 	LocalLoad(addr string) (Load, bool)
 }
 
-// Place is where a daemon stands.
+// Place is the location of a daemon.
 type Place struct {
 	Node, Domain, Region string
 }
 
-// tier is a group of candidates at the same distance, nearest first.
+// The tiers group candidates by distance. Each tier includes the nearer ones.
 const (
-	beside = iota
+	sameNode = iota
 	sameDomain
 	sameRegion
-	anywhere
-	tiers
+	anyRegion
+	tierCount
 )
 
-// Table holds what one daemon knows of the servers of one service. It is not
+// Table holds what one daemon knows about the servers of one service. It is not
 // safe for concurrent use.
 type Table struct {
 	self       Place
 	local      Local
 	slowStart  time.Duration
 	candidates []*directory.Candidate
-	tiers      [tiers][]*directory.Candidate
-	// usual is the smoothed time to answer of all servers; 0 is not known. failing is
-	// the smoothed share of the requests at all servers that fail.
-	usual   time.Duration
-	failing float64
+	tiers      [tierCount][]*directory.Candidate
+	// meanServiceTime is the smoothed time to answer over all servers; 0 if
+	// unknown. meanFailureRate is the smoothed fraction of requests that fail over
+	// all servers.
+	meanServiceTime time.Duration
+	meanFailureRate float64
 	// servers has exactly one entry for each candidate.
 	servers map[string]*server
-	// ranks order the servers of each software version, for arms that take ranked of them;
-	// nil until one asks.
-	ranks  map[string]int
-	ranked int
-	// LinkBytes is what the link of an instance carries, in bytes a second; 0 is
-	// not known.
+	// ranks holds the position of each server in its software version's order, for
+	// arms with First equal to ranksFor; nil until needed.
+	ranks    map[string]int
+	ranksFor int
+	// LinkBytes is the capacity of an instance's link in bytes per second; 0 if
+	// unknown.
 	LinkBytes float64
-	// Ejected is told of each server that is passed over for a while; nil tells
-	// nobody.
+	// Ejected, if not nil, is called for each ejection with its cause and duration.
 	Ejected func(c *directory.Candidate, end End, d time.Duration)
 }
 
@@ -124,18 +127,19 @@
 	return &Table{self: self, local: local, servers: map[string]*server{}}
 }
 
-// Update takes in who serves now. A slice that it already has costs nothing.
+// Update sets the candidates and the slow start time. If the slice is the one the
+// table already has, the candidates are left as they are.
 func (t *Table) Update(candidates []*directory.Candidate, slowStart time.Duration) {
 	t.slowStart = slowStart
 	if len(candidates) == len(t.candidates) && (len(candidates) == 0 || &candidates[0] == &t.candidates[0]) {
 		return
 	}
 	t.candidates, t.ranks = candidates, nil
-	t.tiers = [tiers][]*directory.Candidate{}
+	t.tiers = [tierCount][]*directory.Candidate{}
 	servers := make(map[string]*server, len(candidates))
 	for _, c := range candidates {
 		servers[c.Server.Addr] = t.serverOf(c.Server.Addr)
-		for i := t.distance(c); i < tiers; i++ {
+		for i := t.distance(c); i < tierCount; i++ {
 			t.tiers[i] = append(t.tiers[i], c)
 		}
 	}
@@ -152,55 +156,55 @@
 func (t *Table) distance(c *directory.Candidate) int {
 	switch {
 	case c.Node.Name == t.self.Node:
-		return beside
+		return sameNode
 	case c.Node.Domain == t.self.Domain:
 		return sameDomain
 	case c.Node.Region == t.self.Region:
 		return sameRegion
 	}
-	return anywhere
+	return anyRegion
 }
 
-// Pick returns the candidate to use, or nil when every one was tried. An
-// ejected server is used only when nothing else is left.
+// Pick returns the candidate to use, or nil if every one was tried. An ejected
+// server is used only if no other is left.
 func (t *Table) Pick(in Input) *directory.Candidate {
 	if in.Pin != 0 {
 		return t.pinned(in)
 	}
 	p := picker{table: t, in: in, random: in.Seed}
-	levels := []leave{strict, anyDomain, anyUntried}
+	levels := []relaxation{strict, anyDomain, anyUntried}
 	if in.Answer > 0 {
-		// A large answer costs more on the way from another failure domain than a
-		// further question here: the links of all of them are asked for first.
+		// A transfer of a large answer from another failure domain costs more than
+		// another attempt in this one, so all servers here are tried first.
 		levels = levels[1:]
 	}
-	for _, p.leave = range levels {
-		if c := p.soonest(); c != nil {
+	for _, p.relaxation = range levels {
+		if c := p.cheapest(); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// soonest returns the candidate with the least expected time, or nil without
-// one that may be used.
-func (p *picker) soonest() *directory.Candidate {
+// cheapest returns the usable candidate with the lowest expected cost, or nil if
+// there is none.
+func (p *picker) cheapest() *directory.Candidate {
 	var best *directory.Candidate
 	var least float64
 	for _, c := range p.sample() {
-		if cost := p.table.expected(&p.in, c) * (1 + noise*p.unit()); best == nil || cost < least {
+		if cost := p.table.expectedCost(&p.in, c) * (1 + costJitter*p.randomFloat()); best == nil || cost < least {
 			best, least = c, cost
 		}
 	}
 	return best
 }
 
-// sample returns the usable candidates if they are few; else the nearest and a
-// random few of each tier.
+// sample returns all usable candidates if there are few servers, otherwise up to
+// two random ones of each tier.
 func (p *picker) sample() []*directory.Candidate {
-	all := p.table.tiers[anywhere]
-	list := p.room[:0]
-	if len(all) <= compared {
+	all := p.table.tiers[anyRegion]
+	list := p.buffer[:0]
+	if len(all) <= maxCompared {
 		for _, c := range all {
 			if p.usable(c) {
 				list = append(list, c)
@@ -208,7 +212,7 @@
 		}
 		return list
 	}
-	for i := range tiers {
+	for i := range tierCount {
 		var first *directory.Candidate
 		for range 2 {
 			if c := p.draw(p.table.tiers[i], first); c != nil {
@@ -220,30 +224,30 @@
 	return list
 }
 
-// picker is one pick.
+// picker is the state of one pick.
 type picker struct {
-	table  *Table
-	in     Input
-	random uint64
-	leave  leave
-	// room keeps the sample off the heap.
-	room [compared]*directory.Candidate
+	table      *Table
+	in         Input
+	random     uint64
+	relaxation relaxation
+	// buffer keeps the sample off the heap.
+	buffer [maxCompared]*directory.Candidate
 }
 
-// leave is what a pick may make do with.
-type leave uint8
+// relaxation is how far the criteria of a pick are relaxed.
+type relaxation uint8
 
 const (
-	// strict passes over ejected servers and failure domains that were tried.
-	strict leave = iota
-	// anyDomain passes over ejected servers.
+	// strict excludes ejected servers and failure domains that were tried.
+	strict relaxation = iota
+	// anyDomain excludes ejected servers only.
 	anyDomain
-	// anyUntried takes every server that was not tried.
+	// anyUntried accepts every server that was not tried.
 	anyUntried
 )
 
-// next is the generator splitmix64.
-func (p *picker) next(n int) int {
+// randomInt returns a number in [0, n) from the splitmix64 generator.
+func (p *picker) randomInt(n int) int {
 	p.random += 0x9e3779b97f4a7c15
 	z := p.random
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -252,20 +256,20 @@
 	return int(z % uint64(n))
 }
 
-// unit is a random number in [0, 1).
-func (p *picker) unit() float64 { return float64(p.next(1<<20)) / (1 << 20) }
+// randomFloat returns a random number in [0, 1).
+func (p *picker) randomFloat() float64 { return float64(p.randomInt(1<<20)) / (1 << 20) }
 
-// draw returns a random candidate that may be used, or nil without one.
+// draw returns a random usable candidate other than except, or nil if there is none.
 func (p *picker) draw(tier []*directory.Candidate, except *directory.Candidate) *directory.Candidate {
 	if len(tier) == 0 {
 		return nil
 	}
-	for range draws {
-		if c := tier[p.next(len(tier))]; c != except && p.usable(c) {
+	for range randomDraws {
+		if c := tier[p.randomInt(len(tier))]; c != except && p.usable(c) {
 			return c
 		}
 	}
-	begin := p.next(len(tier))
+	begin := p.randomInt(len(tier))
 	for i := range tier {
 		if c := tier[(begin+i)%len(tier)]; c != except && p.usable(c) {
 			return c
@@ -275,13 +279,13 @@
 }
 
 func (p *picker) usable(c *directory.Candidate) bool {
-	if !p.table.holds(&p.in.Arm, c) {
+	if !p.table.inArm(&p.in.Arm, c) {
 		return false
 	}
 	for _, tried := range p.in.Tried {
-		if tried.Server.Addr == c.Server.Addr || (p.leave == strict && tried.Node.Domain == c.Node.Domain) {
+		if tried.Server.Addr == c.Server.Addr || (p.relaxation == strict && tried.Node.Domain == c.Node.Domain) {
 			return false
 		}
 	}
-	return p.leave == anyUntried || !p.table.servers[c.Server.Addr].ejected(p.in.Now)
+	return p.relaxation == anyUntried || !p.table.servers[c.Server.Addr].ejected(p.in.Now)
 }
--- a/internal/request/balance/balance_test.go
+++ b/internal/request/balance/balance_test.go
@@ -15,10 +15,10 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// event is something to be done at a time.
+// event is a function to run at a point in simulated time.
 type event struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 type events []event
@@ -33,22 +33,22 @@
 	return last
 }
 
-// trial runs calls of many daemons to the servers of one service, in simulated
-// time, and returns the share of calls that waited and that were refused.
-type trial struct {
+// simulation runs calls of many daemons to the servers of one service in simulated
+// time. Its run method returns the fractions of calls that waited and were refused.
+type simulation struct {
 	daemons, servers, slots int
-	// busy is the offered load as a share of all slots.
-	busy float64
-	// blind daemons know nothing of what they have in progress.
-	blind bool
+	// utilisation is the offered load as a fraction of all slots.
+	utilisation float64
+	// ignoresOutstanding makes daemons ignore their own attempts in progress.
+	ignoresOutstanding bool
 }
 
 const (
-	serviceTime = 20 * time.Millisecond
-	trialCalls  = 40000
+	serviceTime    = 20 * time.Millisecond
+	simulatedCalls = 40000
 )
 
-func (p trial) run() (waited, refused float64) {
+func (p simulation) run() (waited, refused float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	exponential := func(mean time.Duration) time.Duration { return time.Duration(random.ExpFloat64() * float64(mean)) }
 	start := time.Unix(1000, 0)
@@ -57,27 +57,27 @@
 	clock := func() time.Time { return start.Add(now) }
 	after := func(d time.Duration, do func()) { heap.Push(&queue, event{now + d, do}) }
 	var candidates []*directory.Candidate
-	gates, began := map[string]*admit.Core{}, map[uint64]func(bool){}
+	cores, onDecision := map[string]*admit.Core{}, map[uint64]func(bool){}
 	for i := range p.servers {
 		addr := fmt.Sprint(i)
 		candidates = append(candidates, &directory.Candidate{Node: view.Node{Name: addr},
 			Server: presence.Server{Addr: addr, Slots: p.slots, State: presence.Serving}})
-		gates[addr] = admit.New(admit.Config{Slots: p.slots, QueueMax: 2 * p.slots})
+		cores[addr] = admit.New(admit.Config{Slots: p.slots, QueueMax: 2 * p.slots})
 	}
 	decide := func(decisions []admit.Decision) {
 		for _, d := range decisions {
-			began[d.ID](d.Verdict == admit.Start)
-			delete(began, d.ID)
+			onDecision[d.ID](d.Verdict == admit.Start)
+			delete(onDecision, d.ID)
 		}
 	}
 	waits, refusals := 0, 0
 	call := func(id uint64, t *Table) {
 		c := t.Pick(Input{Now: clock(), Seed: random.Uint64()})
-		if !p.blind {
+		if !p.ignoresOutstanding {
 			t.Sent(clock(), c, 0, 0)
 		}
-		gate, arrived := gates[c.Server.Addr], now
-		began[id] = func(started bool) {
+		core, arrived := cores[c.Server.Addr], now
+		onDecision[id] = func(started bool) {
 			if !started {
 				refusals++
 				t.Ended(clock(), c, Full)
@@ -88,20 +88,20 @@
 			}
 			took := exponential(serviceTime)
 			after(took, func() {
-				decide(gate.Finish(clock(), "", took))
+				decide(core.Finish(clock(), "", took))
 				t.Ended(clock(), c, Answered)
 			})
 		}
-		decide(gate.Arrive(clock(), admit.Ticket{ID: id, Deadline: clock().Add(time.Second)}))
+		decide(core.Arrive(clock(), admit.Ticket{ID: id, Deadline: clock().Add(time.Second)}))
 	}
-	gap := time.Duration(float64(serviceTime) / (p.busy * float64(p.servers*p.slots)))
+	gap := time.Duration(float64(serviceTime) / (p.utilisation * float64(p.servers*p.slots)))
 	tables := make([]*Table, p.daemons)
 	for i := range tables {
 		tables[i] = NewTable(Place{Node: fmt.Sprint("daemon", i)}, nil)
 		tables[i].Update(candidates, 0)
 	}
 	at := time.Duration(0)
-	for id := range uint64(trialCalls) {
+	for id := range uint64(simulatedCalls) {
 		at += exponential(gap)
 		t := tables[random.IntN(p.daemons)]
 		heap.Push(&queue, event{at, func() { call(id, t) }})
@@ -109,26 +109,26 @@
 	for len(queue) > 0 {
 		e := heap.Pop(&queue).(event)
 		now = e.at
-		e.do()
+		e.run()
 	}
-	return float64(waits) / trialCalls, float64(refusals) / trialCalls
+	return float64(waits) / simulatedCalls, float64(refusals) / simulatedCalls
 }
 
-// TestTwoChoices holds that the less loaded of two servers, by what a daemon
-// has in progress itself, beats a random one: in the sizes of the two meshes,
-// and in a large fleet, where it knows little.
+// TestTwoChoices checks that picking the less loaded of two servers, judged only by
+// the daemon's own attempts in progress, beats a random pick: in the sizes of the two
+// meshes, and in a large fleet, where a daemon sees little of the load.
 func TestTwoChoices(t *testing.T) {
 	c := qt.New(t)
-	for _, p := range []trial{
-		{daemons: 10, servers: 7, slots: 20, busy: 0.85},
-		{daemons: 12, servers: 9, slots: 9, busy: 0.85},
-		{daemons: 200, servers: 25, slots: 9, busy: 0.85},
+	for _, p := range []simulation{
+		{daemons: 10, servers: 7, slots: 20, utilisation: 0.85},
+		{daemons: 12, servers: 9, slots: 9, utilisation: 0.85},
+		{daemons: 200, servers: 25, slots: 9, utilisation: 0.85},
 	} {
 		two, refusedTwo := p.run()
-		p.blind = true
+		p.ignoresOutstanding = true
 		one, refusedOne := p.run()
 		c.Logf("%d daemons, %d servers of %d slots at %.0f%%: waited %.2f%% by two choices, %.2f%% by a random one; refused %.2f%%, %.2f%%",
-			p.daemons, p.servers, p.slots, 100*p.busy, 100*two, 100*one, 100*refusedTwo, 100*refusedOne)
+			p.daemons, p.servers, p.slots, 100*p.utilisation, 100*two, 100*one, 100*refusedTwo, 100*refusedOne)
 		c.Check(two < one, qt.IsTrue)
 	}
 }
--- a/internal/request/balance/expected_test.go
+++ b/internal/request/balance/expected_test.go
@@ -11,25 +11,25 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-func at(node, domain string) *directory.Candidate {
+func candidateAt(node, domain string) *directory.Candidate {
 	return &directory.Candidate{
 		Node:   view.Node{Name: node, Domain: domain},
 		Server: presence.Server{Addr: node, Slots: 4, State: presence.Serving},
 	}
 }
 
-// now is when the tests of the expected time begin.
+// now is the time at which the tests of the expected cost begin.
 var now = time.Unix(1000, 0)
 
-// tableAt is the table of a daemon in the failure domain "d".
+// tableAt returns the table of a daemon in the failure domain "d".
 func tableAt(node string, candidates ...*directory.Candidate) *Table {
 	table := NewTable(Place{Node: node, Domain: "d"}, nil)
 	table.Update(candidates, 0)
 	return table
 }
 
-// picks counts what a table picks, each time as if nothing was in progress.
-func picks(t *Table, now time.Time, target time.Duration) map[string]int {
+// countPicks counts the picks of a table by node, each without attempts in progress.
+func countPicks(t *Table, now time.Time, target time.Duration) map[string]int {
 	count := map[string]int{}
 	for i := range 100 {
 		count[t.Pick(Input{Now: now, Seed: uint64(i), Target: target}).Node.Name]++
@@ -37,49 +37,50 @@
 	return count
 }
 
-// TestUnknownServersAreTried holds that a server nobody has measured is taken for
-// one like the others, and one that was slow once is tried again.
+// TestUnknownServersAreTried checks that an unmeasured server is assumed to be
+// average, and that a server that was once slow is tried again.
 func TestUnknownServersAreTried(t *testing.T) {
 	c := qt.New(t)
-	here, there := at("here", "d"), at("there", "d")
+	here, there := candidateAt("here", "d"), candidateAt("there", "d")
 	table := tableAt("here", here, there)
 	table.Told(now, there, Load{Limit: 4, Service: time.Millisecond})
-	c.Check(picks(table, now, 0)["here"] > 80, qt.IsTrue)
+	c.Check(countPicks(table, now, 0)["here"] > 80, qt.IsTrue)
 	table.Told(now, here, Load{Limit: 4, Service: 20 * time.Millisecond})
-	c.Check(picks(table, now, 0)["here"], qt.Equals, 0)
-	c.Check(picks(table, now.Add(time.Minute), 0)["here"] > 80, qt.IsTrue)
+	c.Check(countPicks(table, now, 0)["here"], qt.Equals, 0)
+	c.Check(countPicks(table, now.Add(time.Minute), 0)["here"] > 80, qt.IsTrue)
 }
 
-// TestFartherServers holds that another failure domain is used only for a gain
-// that matters within the target, or where the near one would refuse.
+// TestFartherServers checks that another failure domain is used only for a gain that
+// matters within the target, or if the nearer server would refuse.
 func TestFartherServers(t *testing.T) {
 	c := qt.New(t)
-	near, far := at("near", "d"), at("far", "e")
+	near, far := candidateAt("near", "d"), candidateAt("far", "e")
 	table := tableAt("caller", near, far)
 	const target = 200 * time.Millisecond
 	table.Told(now, far, Load{Limit: 4, Service: 20 * time.Millisecond})
 	table.Told(now, near, Load{Limit: 4, Service: 60 * time.Millisecond})
-	c.Check(picks(table, now, target)["near"], qt.Equals, 100)
+	c.Check(countPicks(table, now, target)["near"], qt.Equals, 100)
 	table.Told(now, near, Load{Limit: 4, Running: 4, Queued: 8, Service: 60 * time.Millisecond})
-	c.Check(picks(table, now, target)["far"], qt.Equals, 100)
+	c.Check(countPicks(table, now, target)["far"], qt.Equals, 100)
 }
 
-// TestShortRequestsStay holds that a request of less than a millisecond is not
-// sent to another failure domain for a difference that the way costs again.
+// TestShortRequestsStay checks that a request of less than a millisecond is not sent
+// to another failure domain to save less time than the hop costs.
 func TestShortRequestsStay(t *testing.T) {
 	c := qt.New(t)
-	here, far := at("here", "d"), at("far", "e")
+	here, far := candidateAt("here", "d"), candidateAt("far", "e")
 	table := tableAt("here", here, far)
 	table.Told(now, here, Load{Limit: 4, Service: 900 * time.Microsecond})
 	table.Told(now, far, Load{Limit: 4, Service: 100 * time.Microsecond})
-	c.Check(picks(table, now, 0)["here"], qt.Equals, 100)
+	c.Check(countPicks(table, now, 0)["here"], qt.Equals, 100)
 }
 
-// TestLargeBodies holds that a large body goes to the server beside, and else
-// where the link has the least to bring; what is small does not care.
+// TestLargeBodies checks that a large body goes to the server on the same instance, or
+// else to the one whose link has the fewest bytes queued, and that the link does not
+// affect requests with small bodies.
 func TestLargeBodies(t *testing.T) {
 	c := qt.New(t)
-	busy, free := at("busy", "d"), at("free", "d")
+	busy, free := candidateAt("busy", "d"), candidateAt("free", "d")
 	table := tableAt("here", busy, free)
 	table.LinkBytes = 1e6
 	table.Told(now, busy, Load{Limit: 4, Service: 100 * time.Millisecond, Inflow: 500_000})
@@ -92,17 +93,17 @@
 	c.Check(pick(now.Add(500*time.Millisecond), 100_000), qt.Equals, "busy")
 	table.Sent(now, free, 900_000, 0)
 	c.Check(pick(now, 100_000), qt.Equals, "busy")
-	here := at("here", "d")
+	here := candidateAt("here", "d")
 	table.Update([]*directory.Candidate{busy, free, here}, 0)
 	c.Check(pick(now, 300_000), qt.Equals, "here")
 }
 
-// TestFailingServer holds that a server that fails many of its requests is left
-// for one farther away, for a while, and that a service of which all servers fail
-// as many is served as before.
+// TestFailingServer checks that a server that fails many requests is avoided for a
+// while in favour of one farther away, and that the distribution is unchanged if all
+// servers of a service fail equally often.
 func TestFailingServer(t *testing.T) {
 	c := qt.New(t)
-	near, far := at("near", "d"), at("far", "e")
+	near, far := candidateAt("near", "d"), candidateAt("far", "e")
 	table := tableAt("caller", near, far)
 	const target = 200 * time.Millisecond
 	told := func(c *directory.Candidate, failing float64) {
@@ -110,21 +111,21 @@
 	}
 	told(far, 0)
 	told(near, 0.5)
-	c.Check(picks(table, now, target)["far"], qt.Equals, 100)
-	c.Check(picks(table, now.Add(time.Minute), target)["near"] > 90, qt.IsTrue)
+	c.Check(countPicks(table, now, target)["far"], qt.Equals, 100)
+	c.Check(countPicks(table, now.Add(time.Minute), target)["near"] > 90, qt.IsTrue)
 	for range 200 {
 		told(far, 0.5)
 		told(near, 0.5)
 	}
-	c.Check(picks(table, now, target)["near"], qt.Equals, 100)
+	c.Check(countPicks(table, now, target)["near"], qt.Equals, 100)
 }
 
-// TestLargeAnswersStay holds that a request with a large answer that was refused at
-// one server asks the others of its failure domain before it leaves it, and that one
-// with a small answer leaves.
+// TestLargeAnswersStay checks that after a refusal a request with a large answer tries
+// the other servers of the failure domain first, and that one with a small answer
+// goes to another failure domain.
 func TestLargeAnswersStay(t *testing.T) {
 	c := qt.New(t)
-	full, near, far := at("full", "d"), at("near", "d"), at("far", "e")
+	full, near, far := candidateAt("full", "d"), candidateAt("near", "d"), candidateAt("far", "e")
 	table := tableAt("here", full, near, far)
 	table.LinkBytes = 1e6
 	for _, s := range []*directory.Candidate{full, near, far} {
@@ -135,7 +136,7 @@
 	}
 	c.Check(pick(0), qt.Equals, "far")
 	c.Check(pick(90_000), qt.Equals, "near")
-	// A link that has much to send is left all the same.
+	// A server whose link has much left to send is avoided all the same.
 	table.Told(now, near, Load{Limit: 4, Service: 20 * time.Millisecond, Outflow: 900_000})
 	c.Check(pick(90_000), qt.Equals, "far")
 }
--- a/internal/request/balance/pin.go
+++ b/internal/request/balance/pin.go
@@ -9,28 +9,28 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// pinned picks the untried server of the highest random weight (Thaler and
-// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): every
-// daemon that knows the same servers picks the same one. Load, place and
-// ejection, which daemons know differently, are left out.
+// pinned picks the untried server with the highest random weight (Thaler and
+// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998). Daemons
+// that know the same servers pick the same one, so load, location and ejection
+// are ignored: they differ between daemons.
 func (t *Table) pinned(in Input) *directory.Candidate {
 	var best *directory.Candidate
 	var most uint64
 	for _, c := range t.candidates {
-		if !t.holds(&in.Arm, c) {
+		if !t.inArm(&in.Arm, c) {
 			continue
 		}
 		if slices.ContainsFunc(in.Tried, func(o *directory.Candidate) bool { return o.Server.Addr == c.Server.Addr }) {
 			continue
 		}
-		if w := weight(in.Pin, c.Server.Addr); best == nil || w > most {
+		if w := rendezvousWeight(in.Pin, c.Server.Addr); best == nil || w > most {
 			best, most = c, w
 		}
 	}
 	return best
 }
 
-func weight(pin uint64, addr string) uint64 {
+func rendezvousWeight(pin uint64, addr string) uint64 {
 	var raw [8]byte
 	binary.LittleEndian.PutUint64(raw[:], pin)
 	d := xxhash.New()
--- a/internal/request/balance/server.go
+++ b/internal/request/balance/server.go
@@ -7,96 +7,96 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// The ejection's constants.
+// Parameters of ejection and of load reports.
 const (
-	// failuresToEject is how many failures in a row eject a server that can
-	// still be reached.
+	// failuresToEject is the number of consecutive failures that eject a server
+	// that can still be reached.
 	failuresToEject = 3
-	// ejectFirst is the first ejection; each further one in a row is twice as
-	// long, up to ejectMax.
-	ejectFirst = 250 * time.Millisecond
-	ejectMax   = 30 * time.Second
-	// avoidFull is how long a server that refused for want of room counts as
-	// full, unless it tells otherwise.
-	avoidFull = 100 * time.Millisecond
-	// told is how long it takes for what a server's daemon told of its load to
-	// lose two thirds of its weight.
-	told = 500 * time.Millisecond
+	// minEjection is the duration of the first ejection. Each further consecutive
+	// one is twice as long, up to maxEjection.
+	minEjection = 250 * time.Millisecond
+	maxEjection = 30 * time.Second
+	// fullDuration is how long a server that refused for lack of room counts as
+	// full.
+	fullDuration = 100 * time.Millisecond
+	// loadDecay is the time in which a reported load loses two thirds of its weight.
+	loadDecay = 500 * time.Millisecond
 )
 
-// server is what one daemon knows of one backend server.
+// server is what one daemon knows about one backend server.
 type server struct {
-	// outstanding is the attempts of this daemon in progress, never below 0.
+	// outstanding counts this daemon's attempts in progress; it is never below 0.
 	outstanding int
 	fullUntil   time.Time
-	// load is what the daemon beside the server told last, at heard; since is what
-	// this daemon has sent there since, less what has ended.
-	load  Load
-	heard time.Time
-	since int
-	// inflow is the bytes of large bodies on their way there at inflowAt, as told
-	// and with those sent since; the link takes them in at its rate.
+	// load is what the daemon on the server's instance reported last, at loadAt.
+	// sentSinceLoad counts the attempts this daemon started there since, less those
+	// that ended.
+	load          Load
+	loadAt        time.Time
+	sentSinceLoad int
+	// inflow is the bytes of large bodies in transit to the server at inflowAt: those
+	// reported and those sent since. It decreases at the rate of the link.
 	inflow   float64
 	inflowAt time.Time
-	// outflow is the same of large answers on their way from there.
+	// outflow is the same for large answers in transit from the server.
 	outflow   float64
 	outflowAt time.Time
-	// failures and ejections count those in a row.
+	// failures and ejections count consecutive ones.
 	failures, ejections int
 	ejectedUntil        time.Time
 }
 
 func (s *server) ejected(now time.Time) bool { return now.Before(s.ejectedUntil) }
 
-// estimate is the load of a server and the requests in progress on it.
+// estimate returns the load of a server and the requests in progress there.
 func (s *server) estimate(now time.Time, slots int) (Load, float64) {
 	l := s.load
-	l.Idle += max(0, now.Sub(s.heard))
+	l.Idle += max(0, now.Sub(s.loadAt))
 	if l.Limit == 0 {
 		l.Limit = max(slots, 1)
 	}
 	own := float64(s.outstanding)
 	if now.Before(s.fullUntil) {
-		// Its queue is full too.
+		// A refusal for lack of room means that the queue is full too.
 		own = max(own, 2*float64(l.Limit))
 	}
-	if s.heard.IsZero() {
+	if s.loadAt.IsZero() {
 		return l, own
 	}
-	weight := math.Exp(-max(0, now.Sub(s.heard).Seconds()) / told.Seconds())
-	all := max(0, float64(l.Running+l.Queued+s.since))
-	return l, max(own, weight*all+(1-weight)*own)
+	weight := math.Exp(-max(0, now.Sub(s.loadAt).Seconds()) / loadDecay.Seconds())
+	reported := max(0, float64(l.Running+l.Queued+s.sentSinceLoad))
+	return l, max(own, weight*reported+(1-weight)*own)
 }
 
-// Told takes in the load that the daemon beside a server told with its answer.
+// Told records the load that the daemon on a server's instance reported with an answer.
 func (t *Table) Told(now time.Time, c *directory.Candidate, l Load) {
 	if s := t.servers[c.Server.Addr]; s != nil {
-		s.load, s.heard, s.since = l, now, 0
+		s.load, s.loadAt, s.sentSinceLoad = l, now, 0
 		s.inflow, s.inflowAt = float64(l.Inflow), now
 		s.outflow, s.outflowAt = float64(l.Outflow), now
-		t.note(l)
+		t.updateMeans(l)
 	}
 }
 
-// End is how an attempt ended.
+// End is the outcome of an attempt.
 type End uint8
 
-// The ends.
 const (
-	// Answered attempts brought an answer.
+	// Answered: an answer arrived.
 	Answered End = iota
-	// Full attempts were refused for want of room.
+	// Full: the attempt was refused for lack of room.
 	Full
-	// Failed attempts brought no answer in time, or lost it.
+	// Failed: no answer arrived in time, or it was lost.
 	Failed
-	// Unreachable attempts were not taken: nobody listens, or the server
-	// leaves.
+	// Unreachable: the attempt was not accepted, because nothing listens or the
+	// server is draining.
 	Unreachable
-	// Neutral attempts say nothing about the server: the caller left.
+	// Neutral: the outcome says nothing about the server, for instance because the
+	// caller disconnected.
 	Neutral
 )
 
-// String says what happened.
+// String returns the text for the log.
 func (e End) String() string {
 	switch e {
 	case Answered:
@@ -111,42 +111,43 @@
 	return "neutral"
 }
 
-// Sent notes that an attempt goes to c, with a large body and the expected length of
-// a large answer, or 0.
+// Sent records the start of an attempt at c, with the length of a large body and the
+// expected length of a large answer, each 0 if small.
 func (t *Table) Sent(now time.Time, c *directory.Candidate, bytes, answer int64) {
 	if s := t.servers[c.Server.Addr]; s != nil {
 		s.outstanding++
-		s.since++
+		s.sentSinceLoad++
 		if bytes > 0 {
-			s.inflow, s.inflowAt = left(s.inflow, now.Sub(s.inflowAt), t.LinkBytes)+float64(bytes), now
+			s.inflow, s.inflowAt = remainingBytes(s.inflow, now.Sub(s.inflowAt), t.LinkBytes)+float64(bytes), now
 		}
 		if answer > 0 {
-			s.outflow, s.outflowAt = left(s.outflow, now.Sub(s.outflowAt), t.LinkBytes)+float64(answer), now
+			s.outflow, s.outflowAt = remainingBytes(s.outflow, now.Sub(s.outflowAt), t.LinkBytes)+float64(answer), now
 		}
 	}
 }
 
-// left is what is still on its way of some bytes after a while, at a link's rate.
-func left(bytes float64, since time.Duration, rate float64) float64 {
+// remainingBytes returns how many of the bytes in transit are left after a time, at
+// the rate of the link.
+func remainingBytes(bytes float64, since time.Duration, rate float64) float64 {
 	return max(0, bytes-since.Seconds()*rate)
 }
 
-// Ended notes that an attempt at c is over.
+// Ended records the end of an attempt at c.
 func (t *Table) Ended(now time.Time, c *directory.Candidate, end End) {
 	s := t.servers[c.Server.Addr]
 	if s == nil {
 		return
 	}
 	s.outstanding = max(0, s.outstanding-1)
-	s.since--
+	s.sentSinceLoad--
 	switch end {
 	case Answered:
 		s.failures, s.ejections = 0, 0
 	case Full:
-		s.fullUntil = now.Add(avoidFull)
+		s.fullUntil = now.Add(fullDuration)
 	case Failed:
 		s.failures++
-		if s.failures >= failuresToEject && t.ejectedNow(now) < len(t.candidates)/2 {
+		if s.failures >= failuresToEject && t.ejectedCount(now) < len(t.candidates)/2 {
 			t.eject(now, c, end)
 		}
 	case Unreachable:
@@ -154,7 +155,7 @@
 	}
 }
 
-// eject passes a server over for a while.
+// eject excludes a server for a while and reports it to t.Ejected.
 func (t *Table) eject(now time.Time, c *directory.Candidate, end End) {
 	s := t.servers[c.Server.Addr]
 	if s.ejected(now) {
@@ -167,14 +168,14 @@
 }
 
 func (s *server) eject(now time.Time) time.Duration {
-	d := min(ejectFirst<<min(s.ejections, 16), ejectMax)
+	d := min(minEjection<<min(s.ejections, 16), maxEjection)
 	s.ejectedUntil = now.Add(d)
 	s.ejections++
 	s.failures = 0
 	return d
 }
 
-func (t *Table) ejectedNow(now time.Time) int {
+func (t *Table) ejectedCount(now time.Time) int {
 	n := 0
 	for _, s := range t.servers {
 		if s.ejected(now) {
