--- a/internal/request/flow/flow.go
+++ b/internal/request/flow/flow.go
@@ -1,9 +1,10 @@
-// Package flow decides the course of one request at the first daemon: which
-// backend server it goes to, whether a failed attempt is repeated, and the one
-// final answer that its caller gets.
+// Package flow is the state machine of one request at the first daemon: it selects
+// the backend server, decides whether a failed attempt is retried, and determines
+// the single final answer to the caller.
 //
-// Events come in as method calls with the time and a random seed; what is to be
-// done comes out as an Action. The package does no I/O and reads no clock.
+// Events are method calls with the time and a random seed; the result of each is an
+// Action for the caller of the package to perform. The package does no I/O and
+// reads no clock.
 package flow
 
 import (
@@ -16,132 +17,131 @@
 )
 
 const (
-	// redirectMax is the most attempts that are repeated because no server has seen
-	// the request: one had no room, leaves or cannot be reached. They spend neither
-	// the route's retries nor the budget, for they cost the servers nothing. Where
-	// the fleet is large, what a daemon knows of a server is seconds old, and many requests
-	// would be refused without them.
-	redirectMax = 4
-	// comeBack is told when nothing better is known.
-	comeBack = time.Second
-	// comeBackMax bounds what a refusing server may ask of a caller.
-	comeBackMax = 30 * time.Second
+	// maxRedirects is the maximum number of attempts repeated because no server has
+	// received the request: a server had no room, is draining or cannot be reached.
+	// Redirects count neither against the route's retries nor against the budget,
+	// because they put no load on the servers. In a large fleet, a daemon's data on a
+	// server is seconds old, and many requests would be refused without redirects.
+	maxRedirects = 4
+	// defaultRetryAfter is used if no refusing server named a time.
+	defaultRetryAfter = time.Second
+	// maxRetryAfter bounds the time that a refusing server may name.
+	maxRetryAfter = 30 * time.Second
 )
 
-// Service is what the calls of one daemon to one service have in common. It and
-// its calls are not safe for concurrent use.
+// Service is the state shared by the calls of one daemon to one service. It and its
+// calls are not safe for concurrent use.
 type Service struct {
 	Table  *balance.Table
 	budget retry.Budget
 }
 
-// NewService returns a service that no call was made to yet.
+// NewService returns a Service without servers.
 func NewService(self balance.Place, local balance.Local) *Service {
 	return &Service{Table: balance.NewTable(self, local)}
 }
 
-// Budget returns what bounds the further attempts.
+// Budget returns the retry budget.
 func (s *Service) Budget() *retry.Budget { return &s.budget }
 
-// SetRetryLimits changes what bounds the further attempts.
+// SetRetryLimits sets the limits of the retry budget.
 func (s *Service) SetRetryLimits(l retry.Limits) { s.budget.SetLimits(l) }
 
-// Kind tells what an Action is.
+// Kind is the kind of an Action.
 type Kind uint8
 
-// The kinds of action.
 const (
-	// Nothing is to be done.
+	// Nothing requires no action.
 	Nothing Kind = iota
 	// Try sends the request to Candidate.
 	Try
-	// Relay passes the answer of the last Candidate on to the caller.
+	// Relay forwards the answer of Candidate to the caller.
 	Relay
-	// Answer tells the caller Code and RetryAfter; it is final.
+	// Answer sends Code and RetryAfter to the caller as the final answer.
 	Answer
-	// Cancel ends the attempt in progress; there is nobody to answer.
+	// Cancel ends the attempt in progress; the caller is gone.
 	Cancel
 )
 
-// Action is what the driver must do.
+// Action is what the caller of the package must do next.
 type Action struct {
 	Kind      Kind
 	Candidate *directory.Candidate
-	// Repeat is set with Try when an attempt before it came to a server.
+	// Repeat is set with Try if an earlier attempt reached a server.
 	Repeat bool
-	// Code and RetryAfter are set with Answer; 0 is no time known.
+	// Code and RetryAfter are set with Answer; RetryAfter is 0 if unknown.
 	Code       result.Code
 	RetryAfter time.Duration
-	// Cancel is set with Answer when an attempt is still in progress: it must
-	// be ended.
+	// Cancel is set with Answer if an attempt is still in progress and must be
+	// ended.
 	Cancel bool
 }
 
-// Request is what a call depends on.
+// Request holds the properties of a request that determine its course.
 type Request struct {
-	// Deadline is when the caller is answered at the latest.
+	// Deadline is the latest time for the final answer.
 	Deadline time.Time
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Retries is the most attempts after the first that failed.
+	// Retries is the maximum number of retries after the first failed attempt.
 	Retries int
-	// Target is the time within which an answer is worth most; 0 is not known.
+	// Target is the time within which an answer has its full value; 0 if unknown.
 	Target time.Duration
-	// Bytes is the length of a large body, 0 of a small one.
+	// Bytes is the length of the body if it is large, else 0.
 	Bytes int64
-	// Answer is the expected length of a large answer, 0 of a small one.
+	// Answer is the expected length of the answer if it is large, else 0.
 	Answer int64
-	// Inherited is the probability that the request is a call of a run that was a repeat.
+	// Inherited is the probability that the request was made by a run that was itself a repeat.
 	Inherited float64
-	// Pin, if not 0, chooses the server: all requests with one Pin go to one.
+	// Pin, if not 0, determines the server: all requests with the same Pin go to the same one.
 	Pin uint64
-	// Arm bounds the choice of the first attempt while a roll-out runs, and Then that of
-	// the others. One that holds no server gives way to the other.
+	// Arm restricts the first attempt during a roll-out, and Then the others. If Arm has no
+	// usable server, Then applies to the first attempt too.
 	Arm, Then balance.Arm
-	// Otherwise takes the place of Then once a server refused because its software version
-	// takes no new work: there a later stage of the roll-out is in force than here.
+	// Otherwise replaces Then once a server refused because its software version accepts no
+	// new work: a later stage of the roll-out is then in force there than here.
 	Otherwise balance.Arm
 }
 
 type phase uint8
 
 const (
-	// trying calls have exactly one attempt in progress, at current.
-	trying phase = iota + 1
-	// relaying calls have the answer of current.
+	// An attempting call has exactly one attempt in progress, at current.
+	attempting phase = iota + 1
+	// A relaying call has received the answer of current.
 	relaying
-	// over calls got their final answer, or lost their caller.
-	over
+	// A finished call got its final answer, or its caller disconnected.
+	finished
 )
 
-// Call is one request of a caller.
+// Call is the state of one request.
 type Call struct {
 	service *Service
 	request Request
 	phase   phase
 	current *directory.Candidate
-	// tried ends in current.
+	// tried holds the servers of all attempts; current is the last one.
 	tried     []*directory.Candidate
 	retries   int
 	redirects int
-	// arrived is set once an attempt came to a server: each after that spends
-	// the budget.
-	arrived bool
-	// begun is set once a part of the body was sent that cannot be sent again.
-	begun bool
-	// lost is the code of an attempt that may have run; 0 without one. From then
-	// on the caller is never told that the request was not run.
-	lost result.Code
-	// back is the shortest time that a refusing server named.
-	back time.Duration
-	// room keeps tried off the heap for the usual number of attempts.
-	room [1]*directory.Candidate
+	// reachedServer is set once an attempt reached a server. Every later attempt is
+	// charged to the budget.
+	reachedServer bool
+	// bodyBegun is set once a part of the body was sent that cannot be sent again.
+	bodyBegun bool
+	// unknownOutcome is the code of an attempt that may have run; 0 if there is none.
+	// Once it is set, the caller is never told that the request was not run.
+	unknownOutcome result.Code
+	// retryAfter is the shortest time that a refusing server named.
+	retryAfter time.Duration
+	// triedBuffer keeps tried off the heap for the usual number of attempts.
+	triedBuffer [1]*directory.Candidate
 }
 
-// Begin takes in a request.
+// Begin starts a call and returns its first action.
 func (s *Service) Begin(now time.Time, seed uint64, r Request) (*Call, Action) {
 	c := &Call{service: s, request: r}
-	c.tried = c.room[:0]
+	c.tried = c.triedBuffer[:0]
 	s.budget.Request(now)
 	if r.Inherited > 0 {
 		s.budget.Charge(now, r.Inherited)
@@ -149,22 +149,22 @@
 	return c, c.try(now, seed, result.NoBackendServer)
 }
 
-// try picks the next server; without one, the caller is told last.
+// try starts an attempt at the next server. If there is none, the call ends with last.
 func (c *Call) try(now time.Time, seed uint64, last result.Code) Action {
 	if !now.Before(c.request.Deadline) {
-		return c.answer(result.DeadlineTooShort)
+		return c.finish(result.DeadlineTooShort)
 	}
 	picked := c.pick(now, seed)
 	if picked == nil {
-		return c.answer(last)
+		return c.finish(last)
 	}
-	c.phase, c.current = trying, picked
+	c.phase, c.current = attempting, picked
 	c.tried = append(c.tried, picked)
 	c.service.Table.Sent(now, picked, c.request.Bytes, c.request.Answer)
-	return Action{Kind: Try, Candidate: picked, Repeat: c.arrived}
+	return Action{Kind: Try, Candidate: picked, Repeat: c.reachedServer}
 }
 
-// pick chooses the server of the next attempt, nil if every one was tried.
+// pick returns the server of the next attempt, or nil if every one was tried.
 func (c *Call) pick(now time.Time, seed uint64) *directory.Candidate {
 	in := balance.Input{
 		Now: now, Seed: seed, Tried: c.tried, Pin: c.request.Pin, Target: c.request.Target,
@@ -180,42 +180,42 @@
 	return c.service.Table.Pick(in)
 }
 
-func (c *Call) answer(code result.Code) Action {
-	c.phase = over
-	if c.lost != 0 && code.Outcome() == result.NotRun {
-		code = c.lost
+func (c *Call) finish(code result.Code) Action {
+	c.phase = finished
+	if c.unknownOutcome != 0 && code.Outcome() == result.NotRun {
+		code = c.unknownOutcome
 	}
 	a := Action{Kind: Answer, Code: code}
 	if code.Outcome() == result.NotRun {
-		a.RetryAfter = comeBack
-		if c.back > 0 {
-			a.RetryAfter = min(c.back, comeBackMax)
+		a.RetryAfter = defaultRetryAfter
+		if c.retryAfter > 0 {
+			a.RetryAfter = min(c.retryAfter, maxRetryAfter)
 		}
 	}
 	return a
 }
 
-// Isolate chooses the servers of all further attempts by pin.
+// Isolate selects the servers of all further attempts by pin.
 func (c *Call) Isolate(pin uint64) { c.request.Pin = pin }
 
-// BodyBegun tells that a part of the body was sent which cannot be sent again.
-func (c *Call) BodyBegun() { c.begun = true }
+// BodyBegun records that a part of the body was sent which cannot be sent again.
+func (c *Call) BodyBegun() { c.bodyBegun = true }
 
-// Answered tells that the header of an answer arrived.
+// Answered records that the header of an answer arrived.
 func (c *Call) Answered() Action {
-	if c.phase != trying {
+	if c.phase != attempting {
 		return Action{}
 	}
 	c.phase = relaying
 	return Action{Kind: Relay, Candidate: c.current}
 }
 
-// Relayed tells that the answer was passed on, whole or cut.
+// Relayed records that the answer was forwarded, either whole or truncated.
 func (c *Call) Relayed(now time.Time, whole bool) {
 	if c.phase != relaying {
 		return
 	}
-	c.phase = over
+	c.phase = finished
 	end := balance.Failed
 	if whole {
 		end = balance.Answered
@@ -223,29 +223,29 @@
 	c.service.Table.Ended(now, c.current, end)
 }
 
-// Refused tells that the attempt ended without an answer of the server; back
-// is when the refusing side said to come back, 0 without.
-func (c *Call) Refused(now time.Time, seed uint64, code result.Code, back time.Duration) Action {
-	if c.phase != trying {
+// Refused records that the attempt ended without an answer of the server. retryAfter
+// is the time that the refusing side named, or 0.
+func (c *Call) Refused(now time.Time, seed uint64, code result.Code, retryAfter time.Duration) Action {
+	if c.phase != attempting {
 		return Action{}
 	}
-	c.service.Table.Ended(now, c.current, endOf(code))
-	if back > 0 && (c.back == 0 || back < c.back) {
-		c.back = back
+	c.service.Table.Ended(now, c.current, endFor(code))
+	if retryAfter > 0 && (c.retryAfter == 0 || retryAfter < c.retryAfter) {
+		c.retryAfter = retryAfter
 	}
 	if code.Outcome() != result.NotRun {
-		c.lost = code
+		c.unknownOutcome = code
 	}
 	if code == result.VersionRetired && c.request.Otherwise.Bound && c.current.Server.Version == c.request.Then.Version {
 		c.request.Then = c.request.Otherwise
 	}
-	if !c.mayRepeat(now, code) {
-		return c.answer(code)
+	if !c.canRetry(now, code) {
+		return c.finish(code)
 	}
 	return c.try(now, seed, code)
 }
 
-func endOf(code result.Code) balance.End {
+func endFor(code result.Code) balance.End {
 	switch code {
 	case result.Overloaded, result.DeadlineTooShort, result.ServerRefused:
 		return balance.Full
@@ -257,63 +257,64 @@
 	return balance.Neutral
 }
 
-// mayRepeat allows a further attempt where the last certainly was not run or
-// may be run again. A body that was begun is never sent a second time.
-func (c *Call) mayRepeat(now time.Time, code result.Code) bool {
-	if c.begun || !now.Before(c.request.Deadline) {
+// canRetry reports whether a further attempt is allowed: the last one must certainly
+// not have run, or the request must be repeatable. A body that was begun is never
+// sent a second time.
+func (c *Call) canRetry(now time.Time, code result.Code) bool {
+	if c.bodyBegun || !now.Before(c.request.Deadline) {
 		return false
 	}
-	c.arrived = c.arrived || arrives(code)
+	c.reachedServer = c.reachedServer || impliesServerReached(code)
 	switch {
 	case code == result.VersionRetired:
 		c.redirects++
-		return c.redirects <= redirectMax && c.spend(now)
+		return c.redirects <= maxRedirects && c.takeRetry(now)
 	case code == result.RepeatDenied:
-		// What this repeat spent has brought it to no server yet.
+		// The budget was already charged for this repeat, and it has reached no server yet.
 		c.redirects++
-		return c.redirects <= redirectMax
-	case endOf(code) == balance.Neutral:
+		return c.redirects <= maxRedirects
+	case endFor(code) == balance.Neutral:
 		return false
 	case code.Outcome() != result.NotRun && !c.request.Repeatable:
 		return false
-	case endOf(code) == balance.Unreachable, !c.arrived:
-		// No server has seen the request yet; another one may have room, and what is
-		// known of the others is old where the fleet is large.
+	case endFor(code) == balance.Unreachable, !c.reachedServer:
+		// No server has received the request yet. Another one may have room: in a large
+		// fleet, the data on the other servers is out of date.
 		c.redirects++
-		return c.redirects <= redirectMax && c.spend(now)
+		return c.redirects <= maxRedirects && c.takeRetry(now)
 	case c.retries >= c.request.Retries:
 		return false
 	}
 	c.retries++
-	return c.spend(now)
+	return c.takeRetry(now)
 }
 
-// arrives reports whether an attempt that ended with code came to a server.
-func arrives(code result.Code) bool {
+// impliesServerReached reports whether an attempt that ended with code reached a server.
+func impliesServerReached(code result.Code) bool {
 	return code.Outcome() != result.NotRun || code == result.ServerRefused || code == result.WrongServer
 }
 
-// spend takes one further attempt from the budget, unless none has come to a
-// server yet: then the next is still the first that a server sees.
-func (c *Call) spend(now time.Time) bool { return !c.arrived || c.service.budget.Take(now) }
+// takeRetry takes one further attempt from the budget. It is free while no attempt has
+// reached a server, because the next one is then the first that a server sees.
+func (c *Call) takeRetry(now time.Time) bool { return !c.reachedServer || c.service.budget.Take(now) }
 
-// Expired tells that the deadline passed.
+// Expired records that the deadline has passed.
 func (c *Call) Expired(now time.Time) Action {
-	if c.phase != trying {
+	if c.phase != attempting {
 		return Action{}
 	}
 	c.service.Table.Ended(now, c.current, balance.Failed)
-	a := c.answer(result.DeadlineExceeded)
+	a := c.finish(result.DeadlineExceeded)
 	a.Cancel = true
 	return a
 }
 
-// CallerLeft tells that nobody waits for the answer any more.
+// CallerLeft records that the caller disconnected.
 func (c *Call) CallerLeft(now time.Time) Action {
-	if c.phase == over {
+	if c.phase == finished {
 		return Action{}
 	}
 	c.service.Table.Ended(now, c.current, balance.Neutral)
-	c.phase = over
+	c.phase = finished
 	return Action{Kind: Cancel, Code: result.CallerLeft}
 }
--- a/internal/request/flow/flow_test.go
+++ b/internal/request/flow/flow_test.go
@@ -18,21 +18,21 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// world is callers, one daemon's flow, and servers with their gates. It is the
-// oracle too: it records each run by each server.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	tickets uint64
-	service *Service
-	servers []*server
-	calls   []*caller
-	transit []*attempt
+// simulation models callers, one daemon's flow, and servers with their admission
+// control. It records every run on every server and so is also the test oracle.
+type simulation struct {
+	t         *rapid.T
+	now       time.Time
+	tickets   uint64
+	service   *Service
+	servers   []*server
+	calls     []*caller
+	inTransit []*attempt
 }
 
 type server struct {
 	candidate *directory.Candidate
-	gate      *admit.Core
+	admission *admit.Core
 	up        bool
 	tickets   map[uint64]*attempt
 	running   []*attempt
@@ -40,207 +40,207 @@
 
 type caller struct {
 	request Request
-	// stream has a body that can't be sent again once begun.
+	// stream marks a body that cannot be sent again once begun.
 	stream bool
 	call   *Call
-	// last is the attempt in progress.
-	last   *attempt
-	went   []int
-	runs   int
-	finals int
-	code   result.Code
+	// lastAttempt is the attempt in progress.
+	lastAttempt  *attempt
+	triedServers []int
+	runs         int
+	finalAnswers int
+	code         result.Code
 }
 
 type attempt struct {
 	caller *caller
 	server *server
-	// dropped attempts were cancelled: what they still bring comes late.
-	dropped bool
+	// cancelled marks an attempt whose events arrive too late to matter.
+	cancelled bool
 }
 
-const slotsEach = 2
+const slotsPerServer = 2
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: time.Unix(1000, 0), service: NewService(balance.Place{Node: "n0", Domain: "d0"}, nil)}
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{t: t, now: time.Unix(1000, 0), service: NewService(balance.Place{Node: "n0", Domain: "d0"}, nil)}
 	var candidates []*directory.Candidate
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
 		c := &directory.Candidate{
 			Node:   view.Node{Name: fmt.Sprint("n", i), Domain: fmt.Sprint("d", i%3)},
-			Server: presence.Server{Addr: fmt.Sprint("s", i), Slots: slotsEach, State: presence.Serving},
+			Server: presence.Server{Addr: fmt.Sprint("s", i), Slots: slotsPerServer, State: presence.Serving},
 		}
 		candidates = append(candidates, c)
-		w.servers = append(w.servers, &server{candidate: c, gate: newGate(), up: true, tickets: map[uint64]*attempt{}})
+		sim.servers = append(sim.servers, &server{candidate: c, admission: newAdmission(), up: true, tickets: map[uint64]*attempt{}})
 	}
-	w.service.Table.Update(candidates, 0)
-	return w
+	sim.service.Table.Update(candidates, 0)
+	return sim
 }
 
-func newGate() *admit.Core { return admit.New(admit.Config{Slots: slotsEach, QueueMax: 3}) }
+func newAdmission() *admit.Core { return admit.New(admit.Config{Slots: slotsPerServer, QueueMax: 3}) }
 
-func (w *world) draw() uint64 { return rapid.Uint64().Draw(w.t, "seed") }
+func (sim *simulation) drawSeed() uint64 { return rapid.Uint64().Draw(sim.t, "seed") }
 
-func (w *world) begin(t *rapid.T) {
+func (sim *simulation) begin(t *rapid.T) {
 	c := &caller{stream: rapid.Bool().Draw(t, "stream"), request: Request{
-		Deadline:   w.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "timeout")) * time.Millisecond),
+		Deadline:   sim.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "timeout")) * time.Millisecond),
 		Repeatable: rapid.Bool().Draw(t, "repeatable"), Retries: rapid.IntRange(0, 3).Draw(t, "retries"),
 	}}
-	w.calls = append(w.calls, c)
+	sim.calls = append(sim.calls, c)
 	var a Action
-	c.call, a = w.service.Begin(w.now, w.draw(), c.request)
-	w.do(c, a)
+	c.call, a = sim.service.Begin(sim.now, sim.drawSeed(), c.request)
+	sim.apply(c, a)
 }
 
-func (w *world) do(c *caller, a Action) {
+func (sim *simulation) apply(c *caller, a Action) {
 	switch a.Kind {
 	case Try:
-		i := slices.IndexFunc(w.servers, func(s *server) bool { return s.candidate == a.Candidate })
-		if slices.Contains(c.went, i) {
-			w.t.Fatalf("server %d tried twice", i)
+		i := slices.IndexFunc(sim.servers, func(s *server) bool { return s.candidate == a.Candidate })
+		if slices.Contains(c.triedServers, i) {
+			sim.t.Fatalf("server %d tried twice", i)
 		}
-		c.went = append(c.went, i)
-		c.last = &attempt{caller: c, server: w.servers[i]}
-		w.transit = append(w.transit, c.last)
+		c.triedServers = append(c.triedServers, i)
+		c.lastAttempt = &attempt{caller: c, server: sim.servers[i]}
+		sim.inTransit = append(sim.inTransit, c.lastAttempt)
 	case Relay:
-		w.final(c, result.OK)
-		c.call.Relayed(w.now, true)
+		sim.recordFinalAnswer(c, result.OK)
+		c.call.Relayed(sim.now, true)
 	case Answer, Cancel:
-		w.final(c, a.Code)
-		if c.last != nil && (a.Cancel || a.Kind == Cancel) {
-			c.last.dropped = true
+		sim.recordFinalAnswer(c, a.Code)
+		if c.lastAttempt != nil && (a.Cancel || a.Kind == Cancel) {
+			c.lastAttempt.cancelled = true
 		}
 	}
 }
 
-func (w *world) final(c *caller, code result.Code) {
-	c.finals++
+func (sim *simulation) recordFinalAnswer(c *caller, code result.Code) {
+	c.finalAnswers++
 	c.code = code
-	w.check(c)
+	sim.checkInvariants(c)
 }
 
-func (w *world) check(c *caller) {
-	if c.finals > 1 {
-		w.t.Fatalf("%d final answers", c.finals)
+func (sim *simulation) checkInvariants(c *caller) {
+	if c.finalAnswers > 1 {
+		sim.t.Fatalf("%d final answers", c.finalAnswers)
 	}
 	if c.runs > 1 && (!c.request.Repeatable || c.stream) {
-		w.t.Fatalf("%d runs", c.runs)
+		sim.t.Fatalf("%d runs", c.runs)
 	}
 	if c.runs > 1+c.request.Retries {
-		w.t.Fatalf("%d runs with %d retries", c.runs, c.request.Retries)
+		sim.t.Fatalf("%d runs with %d retries", c.runs, c.request.Retries)
 	}
-	if c.finals == 1 && c.code.Outcome() == result.NotRun && c.runs > 0 {
-		w.t.Fatalf("told %s after %d runs", c.code, c.runs)
+	if c.finalAnswers == 1 && c.code.Outcome() == result.NotRun && c.runs > 0 {
+		sim.t.Fatalf("answered %s after %d runs", c.code, c.runs)
 	}
 }
 
-// fail tells the caller's side that an attempt ended without an answer, late
-// ones too.
-func (w *world) fail(a *attempt, d admit.Decision) {
-	w.do(a.caller, a.caller.call.Refused(w.now, w.draw(), d.Code, d.RetryAfter))
+// endAttempt reports to the call that an attempt ended without an answer, also if the
+// call is already finished.
+func (sim *simulation) endAttempt(a *attempt, d admit.Decision) {
+	sim.apply(a.caller, a.caller.call.Refused(sim.now, sim.drawSeed(), d.Code, d.RetryAfter))
 }
 
-func (w *world) deliver(t *rapid.T) {
-	if len(w.transit) == 0 {
+func (sim *simulation) deliver(t *rapid.T) {
+	if len(sim.inTransit) == 0 {
 		t.Skip()
 	}
-	i := rapid.IntRange(0, len(w.transit)-1).Draw(t, "attempt")
-	a := w.transit[i]
-	w.transit = slices.Delete(w.transit, i, i+1)
-	w.tickets++
-	id := w.tickets
+	i := rapid.IntRange(0, len(sim.inTransit)-1).Draw(t, "attempt")
+	a := sim.inTransit[i]
+	sim.inTransit = slices.Delete(sim.inTransit, i, i+1)
+	sim.tickets++
+	id := sim.tickets
 	a.server.tickets[id] = a
-	w.decide(a.server, a.server.gate.Arrive(w.now, admit.Ticket{
+	sim.decide(a.server, a.server.admission.Arrive(sim.now, admit.Ticket{
 		ID: id, Priority: rapid.IntRange(0, 9).Draw(t, "priority"), Deadline: a.caller.request.Deadline,
 		Alone: rapid.IntRange(0, 9).Draw(t, "alone") == 0,
 	}))
 }
 
-func (w *world) decide(s *server, decisions []admit.Decision) {
+func (sim *simulation) decide(s *server, decisions []admit.Decision) {
 	for _, d := range decisions {
 		a := s.tickets[d.ID]
 		delete(s.tickets, d.ID)
 		switch {
 		case d.Verdict == admit.Refuse:
-			w.fail(a, d)
+			sim.endAttempt(a, d)
 		case !s.up:
-			w.fail(a, admit.Decision{Code: result.BackendRefused})
-			w.decide(s, s.gate.Finish(w.now, "", 0))
+			sim.endAttempt(a, admit.Decision{Code: result.BackendRefused})
+			sim.decide(s, s.admission.Finish(sim.now, "", 0))
 		default:
-			w.run(s, a)
+			sim.run(s, a)
 		}
 	}
 }
 
-func (w *world) run(s *server, a *attempt) {
+func (sim *simulation) run(s *server, a *attempt) {
 	s.running = append(s.running, a)
-	if len(s.running) > slotsEach {
-		w.t.Fatalf("%d running on %d slots", len(s.running), slotsEach)
+	if len(s.running) > slotsPerServer {
+		sim.t.Fatalf("%d running on %d slots", len(s.running), slotsPerServer)
 	}
 	a.caller.runs++
-	w.check(a.caller)
+	sim.checkInvariants(a.caller)
 	if a.caller.stream {
 		a.caller.call.BodyBegun()
 	}
 }
 
-func (w *world) anyServer(t *rapid.T) *server {
-	return w.servers[rapid.IntRange(0, len(w.servers)-1).Draw(t, "server")]
+func (sim *simulation) drawServer(t *rapid.T) *server {
+	return sim.servers[rapid.IntRange(0, len(sim.servers)-1).Draw(t, "server")]
 }
 
-func (w *world) finish(t *rapid.T) {
-	s := w.anyServer(t)
+func (sim *simulation) finish(t *rapid.T) {
+	s := sim.drawServer(t)
 	if len(s.running) == 0 {
 		t.Skip()
 	}
 	a := s.running[0]
 	s.running = s.running[1:]
-	w.do(a.caller, a.caller.call.Answered())
-	w.decide(s, s.gate.Finish(w.now, "", time.Millisecond*time.Duration(rapid.IntRange(1, 900).Draw(t, "took"))))
+	sim.apply(a.caller, a.caller.call.Answered())
+	sim.decide(s, s.admission.Finish(sim.now, "", time.Millisecond*time.Duration(rapid.IntRange(1, 900).Draw(t, "took"))))
 }
 
-// crash ends everything that runs on a server, and flips whether it is up.
-func (w *world) crash(t *rapid.T) {
-	s := w.anyServer(t)
+// crash ends everything that runs on a server, and toggles whether the server is up.
+func (sim *simulation) crash(t *rapid.T) {
+	s := sim.drawServer(t)
 	s.up = !s.up
 	lost := s.running
 	s.running = nil
 	for _, a := range lost {
-		w.fail(a, admit.Decision{Code: result.AnswerLost})
-		w.decide(s, s.gate.Finish(w.now, "", 0))
+		sim.endAttempt(a, admit.Decision{Code: result.AnswerLost})
+		sim.decide(s, s.admission.Finish(sim.now, "", 0))
 	}
 }
 
-func (w *world) drain(t *rapid.T) {
-	s := w.anyServer(t)
-	w.decide(s, s.gate.Drain())
+func (sim *simulation) drain(t *rapid.T) {
+	s := sim.drawServer(t)
+	sim.decide(s, s.admission.Drain())
 	if rapid.Bool().Draw(t, "resume") {
-		s.gate.Resume()
+		s.admission.Resume()
 	}
 }
 
-func (w *world) leave(t *rapid.T) {
-	open := w.open()
+func (sim *simulation) callerLeaves(t *rapid.T) {
+	open := sim.open()
 	if len(open) == 0 {
 		t.Skip()
 	}
 	c := open[rapid.IntRange(0, len(open)-1).Draw(t, "caller")]
-	w.do(c, c.call.CallerLeft(w.now))
+	sim.apply(c, c.call.CallerLeft(sim.now))
 }
 
-func (w *world) open() []*caller {
-	return slices.DeleteFunc(slices.Clone(w.calls), func(c *caller) bool { return c.finals > 0 })
+func (sim *simulation) open() []*caller {
+	return slices.DeleteFunc(slices.Clone(sim.calls), func(c *caller) bool { return c.finalAnswers > 0 })
 }
 
-func (w *world) pass(t *rapid.T) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-	for _, c := range w.open() {
-		if !c.request.Deadline.After(w.now) {
-			w.do(c, c.call.Expired(w.now))
+func (sim *simulation) advance(t *rapid.T) {
+	sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
+	for _, c := range sim.open() {
+		if !c.request.Deadline.After(sim.now) {
+			sim.apply(c, c.call.Expired(sim.now))
 		}
 	}
 }
 
-// TestMain asks for more and longer sessions than rapid's defaults: a second
-// run of one request takes several events in order.
+// TestMain sets more and longer sequences than rapid's defaults: it takes several
+// events in order for a request to run a second time.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.checks": "600", "rapid.steps": "100"} {
 		if err := flag.Set(name, value); err != nil {
@@ -250,24 +250,25 @@
 	os.Exit(m.Run())
 }
 
-// TestEveryCallHasOneFinalAnswer: no run twice of what may not be repeated,
-// "not run" never ran, slots never exceeded, whatever fails.
+// TestEveryCallHasOneFinalAnswer checks under arbitrary failures that every call gets
+// exactly one final answer, that a request which is not repeatable runs at most once,
+// that a request answered as not run never ran, and that slots are never exceeded.
 func TestEveryCallHasOneFinalAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		step := func(f func(*rapid.T)) func(*rapid.T) {
-			return func(t *rapid.T) { w.t = t; f(t) }
+			return func(t *rapid.T) { sim.t = t; f(t) }
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"begin": step(w.begin), "begin2": step(w.begin), "deliver": step(w.deliver), "deliver2": step(w.deliver),
-			"finish": step(w.finish), "crash": step(w.crash), "drain": step(w.drain), "leave": step(w.leave), "pass": step(w.pass),
+			"begin": step(sim.begin), "begin2": step(sim.begin), "deliver": step(sim.deliver), "deliver2": step(sim.deliver),
+			"finish": step(sim.finish), "crash": step(sim.crash), "drain": step(sim.drain), "leave": step(sim.callerLeaves), "pass": step(sim.advance),
 		})
-		w.t = t
-		w.now = w.now.Add(time.Hour)
-		for _, c := range w.open() {
-			w.do(c, c.call.Expired(w.now))
+		sim.t = t
+		sim.now = sim.now.Add(time.Hour)
+		for _, c := range sim.open() {
+			sim.apply(c, c.call.Expired(sim.now))
 		}
-		if n := len(w.open()); n > 0 {
+		if n := len(sim.open()); n > 0 {
 			t.Fatalf("%d calls without a final answer", n)
 		}
 	})
--- a/internal/request/flow/repeat_test.go
+++ b/internal/request/flow/repeat_test.go
@@ -11,8 +11,9 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// TestDeniedRepeatGoesElsewhere sends a repeat that one daemon denies to another server, for
-// what it has spent already, and tells the caller of the attempt that may have run.
+// TestDeniedRepeatGoesElsewhere checks that a repeat denied at one daemon is sent to another
+// server without a second charge to the budget, and that the caller's final answer is the
+// code of the attempt that may have run.
 func TestDeniedRepeatGoesElsewhere(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -33,8 +34,8 @@
 	c.Check(s.Budget().Counts(), qt.Equals, retry.Counts{Taken: 1})
 }
 
-// TestCallsOfRepeatsSpendTheBudget holds that a request which follows from a repeat leaves the
-// less for further attempts.
+// TestCallsOfRepeatsSpendTheBudget checks that requests made by repeats are charged to the
+// budget, which leaves less of it for retries.
 func TestCallsOfRepeatsSpendTheBudget(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/request/flow/rollout_test.go
+++ b/internal/request/flow/rollout_test.go
@@ -14,7 +14,7 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-func versions() *Service {
+func newTwoVersionService() *Service {
 	s := NewService(balance.Place{Node: "n0", Domain: "d0"}, nil)
 	var list []*directory.Candidate
 	for i := range 40 {
@@ -27,11 +27,11 @@
 	return s
 }
 
-// TestArms keeps the first attempt to the arm it was given, on the same few servers for every
-// request, and the others to the other version.
+// TestArms checks that the first attempt goes to its arm, on the same few servers for every
+// request, and that further attempts go to the other version.
 func TestArms(t *testing.T) {
 	c := qt.New(t)
-	s := versions()
+	s := newTwoVersionService()
 	now := time.Unix(1000, 0)
 	base, target := balance.Arm{Bound: true, Version: "v1"}, balance.Arm{Bound: true, Version: "v2", First: 3}
 	seen := map[string]bool{}
@@ -47,11 +47,11 @@
 	c.Check(len(seen), qt.Equals, 3)
 }
 
-// TestOneStageBehind replays the handover at a daemon that has not heard of it: every server
-// of the version before refuses, and the caller is answered by the other one all the same.
+// TestOneStageBehind covers a daemon that has not yet learned of a new roll-out stage: every
+// server of the old version refuses, and the request must be answered by the new version.
 func TestOneStageBehind(t *testing.T) {
 	c := qt.New(t)
-	s := versions()
+	s := newTwoVersionService()
 	now := time.Unix(1000, 0)
 	base := balance.Arm{Bound: true, Version: "v1"}
 	call, a := s.Begin(now, 1, Request{Deadline: now.Add(time.Second), Arm: base, Then: base, Otherwise: balance.Arm{Bound: true, Version: "v2"}})
--- a/internal/request/flow/session_test.go
+++ b/internal/request/flow/session_test.go
@@ -15,8 +15,8 @@
 	"github.com/daisygate/daisygate/internal/version/directory"
 )
 
-// TestSessions replays the golden sessions of testdata. The daemon is n0 in the
-// failure domain d0; a server is written name@node/domain/region.
+// TestSessions replays the golden sessions in testdata. The daemon is n0 in the
+// failure domain d0; servers are written as name@node/domain/region.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &session{now: time.Unix(1000, 0)}
@@ -70,7 +70,7 @@
 	return ""
 }
 
-// storm makes repeatable calls whose every attempt is lost.
+// storm makes repeatable calls of which every attempt fails with a lost answer.
 func (s *session) storm(calls int) string {
 	attempts := 0
 	for range calls {
