--- a/internal/request/retry/budget.go
+++ b/internal/request/retry/budget.go
@@ -1,64 +1,65 @@
-// Package retry keeps the retries of a daemon to a small share of its requests,
-// so that a failing service is not asked ever more.
+// Package retry limits the retries of a daemon to a small fraction of its requests,
+// so that retries do not add to the load of a failing service.
 //
 // The package does no I/O and reads no clock.
 package retry
 
 import "time"
 
-// Limits bound the retries of one daemon to one service.
+// Limits bound the retries from one daemon to one service.
 type Limits struct {
-	// Ratio is the retries for each request.
+	// Ratio is the number of retries earned per request.
 	Ratio float64
-	// Slack is the most retries that may be saved up.
+	// Slack is the maximum number of retries saved up.
 	Slack float64
-	// Window is the time in which Slack comes by itself, for a service with few
-	// requests; 0 never lets it.
+	// Window is the time in which Slack retries are earned without any requests,
+	// for services with few of them; 0 disables this.
 	Window time.Duration
-	// Since is from when on Slack comes: a process that ran before it may have spent
-	// its own within the last window. With the zero time all of it is there at the
-	// start.
+	// Since is the time from which on retries are earned by time. It lets a restarted
+	// process start with an empty budget, because its predecessor may have spent its
+	// slack within the last window. With the zero time, the budget starts full.
 	Since time.Time
 }
 
-// Defaults are at most one retry in five requests, with 20 saved up, which come
-// back in ten seconds.
+// Defaults returns limits of one retry per five requests, with a slack of 20 that is
+// earned within ten seconds.
 func Defaults() Limits { return Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second} }
 
-// Budget is a token bucket for the retries to one service. The zero value has
-// the limits of Defaults. It is not safe for concurrent use.
+// Budget is a token bucket for the retries to one service. The zero value uses the
+// limits of Defaults. It is not safe for concurrent use.
 type Budget struct {
-	limits Limits
-	set    bool
-	// tokens is the retries saved up, at most limits.Slack; below 0 it is overdrawn.
+	limits     Limits
+	configured bool
+	// tokens is the number of retries saved up, at most limits.Slack. It is negative
+	// if the budget is overdrawn.
 	tokens float64
-	// last is when tokens was worked out; zero before the first use.
-	last   time.Time
-	counts Counts
+	// refilledAt is when tokens was last updated; zero before the first use.
+	refilledAt time.Time
+	counts     Counts
 }
 
-// Counts are the retries that were asked for since the start.
+// Counts are the numbers of retries granted and denied since the start.
 type Counts struct{ Taken, Denied uint64 }
 
-// Counts returns the retries so far.
+// Counts returns the counts so far.
 func (b *Budget) Counts() Counts { return b.counts }
 
-// Limits returns the bounds in force.
+// Limits returns the current limits.
 func (b *Budget) Limits() Limits { return b.limits }
 
-// SetLimits changes the bounds. A greater slack has to be saved up first.
+// SetLimits changes the limits. An increase of Slack does not add tokens.
 func (b *Budget) SetLimits(l Limits) {
-	b.limits, b.set = l, true
+	b.limits, b.configured = l, true
 	b.tokens = min(b.tokens, l.Slack)
 }
 
-// Request notes a first attempt.
+// Request records a first attempt.
 func (b *Budget) Request(now time.Time) {
 	b.refill(now)
 	b.add(b.limits.Ratio)
 }
 
-// Take spends one retry and reports whether there was one left.
+// Take spends one retry and reports whether one was available.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -70,14 +71,14 @@
 	return true
 }
 
-// Charge spends what cannot be held back any more, a part of a retry too. What is overdrawn
-// has to come back before the next Take.
+// Charge spends retries, or a fraction of one, that can no longer be prevented. It may
+// overdraw the budget; the debt has to be earned back before the next Take succeeds.
 func (b *Budget) Charge(now time.Time, retries float64) {
 	b.refill(now)
 	b.tokens -= retries
 }
 
-// Overdrawn reports whether more was charged than there was.
+// Overdrawn reports whether the budget is overdrawn.
 func (b *Budget) Overdrawn(now time.Time) bool {
 	b.refill(now)
 	return b.tokens < 0
@@ -86,14 +87,14 @@
 func (b *Budget) add(tokens float64) { b.tokens = min(b.tokens+tokens, b.limits.Slack) }
 
 func (b *Budget) refill(now time.Time) {
-	if !b.set {
+	if !b.configured {
 		b.SetLimits(Defaults())
 	}
-	from := b.last
+	from := b.refilledAt
 	if from.IsZero() {
 		from = b.limits.Since
 	}
-	b.last = now
+	b.refilledAt = now
 	switch {
 	case from.IsZero():
 		b.tokens = b.limits.Slack
--- a/internal/request/retry/budget_test.go
+++ b/internal/request/retry/budget_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBudget holds that in any window the retries stay within the ratio of the
-// requests and twice the slack: what was saved up and what comes back meanwhile.
+// TestBudget checks that in any window the retries stay within the ratio of the requests
+// plus twice the slack: what was saved up and what is earned within the window.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
 	limits := Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
@@ -37,26 +37,26 @@
 	c.Check(len(taken) > perSecond*seconds/10, qt.IsTrue)
 }
 
-// TestRestartBringsNoSecondBudget guards against repeats beyond the bound while a daemon is
-// killed and started again and again: each life begins without what the one before may have
-// spent.
+// TestRestartBringsNoSecondBudget guards against exceeding the retry limit when a daemon is
+// killed and restarted repeatedly: each process must start without the slack that its
+// predecessor may have spent.
 func TestRestartBringsNoSecondBudget(t *testing.T) {
 	c := qt.New(t)
-	const perSecond, seconds, life = 50, 60, 125
-	// Window and slack are those of one daemon; at its start it knows no other for a moment,
-	// and takes its part for ten times as large.
-	const slack, unknowing, window = 2.6, 25, 10 * time.Second
+	const perSecond, seconds, requestsPerLife = 50, 60, 125
+	// Window and slack are those of one daemon. For a moment after its start it knows no
+	// other daemon and assumes ten times its part of the slack.
+	const slack, startupRequests, window = 2.6, 25, 10 * time.Second
 	begin := time.Unix(1000, 0)
 	var b Budget
-	var born time.Time
+	var startedAt time.Time
 	var taken []time.Time
 	for i := range perSecond * seconds {
 		now := begin.Add(time.Duration(i) * time.Second / perSecond)
-		if i%life == 0 {
-			b, born = Budget{}, now
+		if i%requestsPerLife == 0 {
+			b, startedAt = Budget{}, now
 		}
-		l := Limits{Ratio: 0.2, Slack: slack, Window: window, Since: born.Add(5 * time.Second)}
-		if i%life < unknowing {
+		l := Limits{Ratio: 0.2, Slack: slack, Window: window, Since: startedAt.Add(5 * time.Second)}
+		if i%requestsPerLife < startupRequests {
 			l.Slack *= 10
 		}
 		b.SetLimits(l)
@@ -77,8 +77,8 @@
 	c.Check(len(taken) > perSecond*seconds/10, qt.IsTrue, qt.Commentf("%d", len(taken)))
 }
 
-// TestCutOffDaemonKeepsItsPart guards against repeats beyond the bound while daemons are cut
-// off from each other: none takes the whole slack for itself.
+// TestCutOffDaemonKeepsItsPart guards against exceeding the retry limit when daemons are
+// partitioned from each other: none may use the whole slack.
 func TestCutOffDaemonKeepsItsPart(t *testing.T) {
 	c := qt.New(t)
 	var f Fleet
@@ -97,7 +97,7 @@
 	c.Check(f.Daemons(now.Add(time.Hour), 2), qt.Equals, 2)
 }
 
-// TestOverdrawn holds retries back until what was charged beyond them has come back.
+// TestOverdrawn checks that retries are denied until an overdraft has been earned back.
 func TestOverdrawn(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
