--- a/internal/request/share/share_test.go
+++ b/internal/request/share/share_test.go
@@ -6,6 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// TestStormLeavesRoom checks that a mesh that fills the daemon leaves the reserved part to
+// each of the others.
 func TestStormLeavesRoom(t *testing.T) {
 	c := qt.New(t)
 	l := New(100)
