--- a/internal/request/sample/sample.go
+++ b/internal/request/sample/sample.go
@@ -1,10 +1,10 @@
-// Package sample chooses the requests that a log tells of when there are too
-// many for all: a share that is halved while lines come too fast, and doubled
-// when there is room again.
+// Package sample selects the requests to log if there are too many to log them all.
+// The sampled fraction is halved while lines come too fast, and doubled when there
+// is room again.
 //
-// A request is chosen by its id alone, and the requests of a smaller share are
-// among those of a greater one. So daemons that chose different shares still
-// tell of the same requests, and the path of one is found on all of them.
+// The selection depends only on the request's id, and a smaller sample is a subset
+// of a larger one. So daemons with different fractions still log the same requests,
+// and the path of a request can be found on all of them.
 //
 // The package does no I/O and reads no clock.
 package sample
@@ -15,59 +15,59 @@
 )
 
 const (
-	// halvingsMax bounds how small the share becomes: one request in 65,536.
-	halvingsMax = 16
-	// hardCap bounds the lines of a second, in multiples of what is wanted: the
-	// share is right only after some lines.
-	hardCap = 2
+	// maxHalvings bounds the sampled fraction from below: one request in 65,536.
+	maxHalvings = 16
+	// burstFactor bounds the lines in any second, in multiples of the configured rate,
+	// because the sampled fraction takes some lines to adapt.
+	burstFactor = 2
 )
 
-// Sampler chooses requests. The zero value chooses each. It is not safe for
+// Sampler selects requests. The zero value selects all of them. It is not safe for
 // concurrent use.
 type Sampler struct {
-	perSecond int
-	halvings  int
-	second    time.Time
-	// offered and kept count the lines of this second.
+	perSecond   int
+	halvings    int
+	secondStart time.Time
+	// offered and kept count the lines of the current second.
 	offered, kept int
-	heldBack      int
+	suppressed    int
 }
 
-// New returns a Sampler for so many lines a second; 0 keeps every line.
+// New returns a Sampler for perSecond lines a second; 0 keeps every line.
 func New(perSecond int) *Sampler { return &Sampler{perSecond: perSecond} }
 
-// Keep reports whether a line about a request is written, and how many were
-// held back since the last one that was.
-func (s *Sampler) Keep(now time.Time, id string) (heldBack int, keep bool) {
+// Keep reports whether to write a line about a request, and how many lines were
+// suppressed since the last one that was written.
+func (s *Sampler) Keep(now time.Time, id string) (suppressed int, keep bool) {
 	if s.perSecond == 0 {
 		return 0, true
 	}
-	if now.Sub(s.second) >= time.Second {
-		s.next(now)
+	if now.Sub(s.secondStart) >= time.Second {
+		s.startSecond(now)
 	}
 	s.offered++
-	if !s.chosen(id) || s.kept >= hardCap*s.perSecond {
-		s.heldBack++
+	if !s.chosen(id) || s.kept >= burstFactor*s.perSecond {
+		s.suppressed++
 		return 0, false
 	}
 	s.kept++
-	if s.kept%s.perSecond == 0 && s.halvings < halvingsMax {
+	if s.kept%s.perSecond == 0 && s.halvings < maxHalvings {
 		s.halvings++
 	}
-	heldBack, s.heldBack = s.heldBack, 0
-	return heldBack, true
+	suppressed, s.suppressed = s.suppressed, 0
+	return suppressed, true
 }
 
-// next begins a second. The share grows when twice as many lines as in the last
-// one would have fitted.
-func (s *Sampler) next(now time.Time) {
+// startSecond begins a new second. It doubles the sampled fraction if twice the lines
+// of the last second would have fitted.
+func (s *Sampler) startSecond(now time.Time) {
 	if s.halvings > 0 && (s.offered>>(s.halvings-1)) < s.perSecond {
 		s.halvings--
 	}
-	s.second, s.offered, s.kept = now, 0, 0
+	s.secondStart, s.offered, s.kept = now, 0, 0
 }
 
-// chosen reports whether a request is in the share. One without an id is in each.
+// chosen reports whether a request is sampled. Requests without an id always are.
 func (s *Sampler) chosen(id string) bool {
 	if id == "" {
 		return true
--- a/internal/request/sample/sample_test.go
+++ b/internal/request/sample/sample_test.go
@@ -8,28 +8,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBound holds that a flood of lines stays under the cap in each second and
-// settles at about what is wanted, that what was left out is counted, and that
-// all are kept again when the flood is over.
+// TestBound checks that under a flood of lines each second stays below the cap and the
+// rate approaches the configured one, that suppressed lines are counted, and that all
+// lines are kept again after the flood.
 func TestBound(t *testing.T) {
 	c := qt.New(t)
 	s := New(20)
 	now := time.Unix(1000, 0)
-	kept, told := 0, 0
+	kept, reported := 0, 0
 	for second := range 30 {
 		inSecond := 0
 		for i := range 5000 {
-			heldBack, keep := s.Keep(now.Add(time.Duration(i)*200*time.Microsecond), fmt.Sprintf("%d-%d", second, i))
-			if told += heldBack; keep {
+			suppressed, keep := s.Keep(now.Add(time.Duration(i)*200*time.Microsecond), fmt.Sprintf("%d-%d", second, i))
+			if reported += suppressed; keep {
 				inSecond++
 			}
 		}
-		c.Check(inSecond <= hardCap*20, qt.IsTrue, qt.Commentf("second %d: %d", second, inSecond))
+		c.Check(inSecond <= burstFactor*20, qt.IsTrue, qt.Commentf("second %d: %d", second, inSecond))
 		kept += inSecond
 		now = now.Add(time.Second)
 	}
 	c.Check(kept > 30*5, qt.IsTrue, qt.Commentf("%d", kept))
-	c.Check(told+kept+s.heldBack, qt.Equals, 30*5000)
+	c.Check(reported+kept+s.suppressed, qt.Equals, 30*5000)
 	for range 20 {
 		now = now.Add(time.Second)
 		s.Keep(now, "a")
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSharesNest holds that a request which a busy daemon tells of is told of by
-// a less busy one too.
+// TestSharesNest checks that a request logged by a busy daemon is also logged by a less
+// busy one.
 func TestSharesNest(t *testing.T) {
 	c := qt.New(t)
 	few, many := New(1), New(1)
