--- a/internal/request/lineage/lineage_test.go
+++ b/internal/request/lineage/lineage_test.go
@@ -40,15 +40,15 @@
 		o.Note(now, public, "b")
 	}
 	o.Note(now, called, "b")
-	c.Check(o.Everywhere(now, called, two), qt.IsFalse, qt.Commentf("a question of an operator is no caller"))
+	c.Check(o.Everywhere(now, called, two), qt.IsFalse, qt.Commentf("a single request of an operator does not count as a caller"))
 	c.Check(o.Everywhere(now, public, two), qt.IsTrue)
 	c.Check(o.Everywhere(now, public, map[string]int{"a": 7, "b": 3, "c": 1}), qt.IsFalse)
-	c.Check(o.Everywhere(now, public, map[string]int{"a": 7}), qt.IsFalse, qt.Commentf("of one service nothing is known"))
-	later := now.Add(2 * originMemory)
+	c.Check(o.Everywhere(now, public, map[string]int{"a": 7}), qt.IsFalse, qt.Commentf("it cannot be decided with a single service"))
+	later := now.Add(2 * originDecay)
 	for range 30 {
 		o.Note(later, public, "a")
 	}
-	c.Check(o.Everywhere(later, public, two), qt.IsFalse, qt.Commentf("of one of them it was long ago"))
+	c.Check(o.Everywhere(later, public, two), qt.IsFalse, qt.Commentf("the requests from one service have decayed"))
 }
 
 func TestOriginsAreBounded(t *testing.T) {
--- a/internal/request/lineage/runs.go
+++ b/internal/request/lineage/runs.go
@@ -1,41 +1,41 @@
-// Package lineage estimates which requests that begin at an instance follow from repeats.
+// Package lineage estimates which requests that enter at an instance were caused by repeats.
 //
-// The backend server beside a daemon makes calls of its own while it runs a request. A call
-// of a run that was itself a repeat is a repeat at the service that is called, but calls do
-// not say which run they belong to. What is known is how much of what runs was a repeat, and
-// from which services' instances the requests on a route come.
+// The backend server on a daemon's instance makes calls of its own while it runs a request. A
+// call made by a repeated run is a repeat at the called service, but calls do not identify the
+// run that made them. What is known is the fraction of the current runs that are repeats, and
+// the services from whose instances the requests on a route come.
 //
 // The package does no I/O and reads no clock.
 package lineage
 
-// Runs counts what runs on the backend servers beside a daemon. The zero value counts none.
-// It is not safe for concurrent use.
+// Runs counts the runs in progress on the backend servers of a daemon's instance. The zero
+// value counts none. It is not safe for concurrent use.
 type Runs struct {
-	// running are the repeatable requests that run; others are never repeated.
+	// running counts repeatable requests in progress; others are never repeated.
 	running int
-	// repeats is how many of them count as repeats, each with its probability.
-	repeats float64
+	// expectedRepeats is the sum of the probabilities that a run is a repeat.
+	expectedRepeats float64
 }
 
-// Begin counts a repeatable request in that is a repeat with some probability.
+// Begin counts the start of a repeatable request that is a repeat with the given probability.
 func (r *Runs) Begin(repeat float64) {
 	r.running++
-	r.repeats += repeat
+	r.expectedRepeats += repeat
 }
 
-// End counts a request out that was counted in with the same probability.
+// End counts the end of a request, with the same probability as at its Begin.
 func (r *Runs) End(repeat float64) {
 	r.running--
-	r.repeats -= repeat
+	r.expectedRepeats -= repeat
 	if r.running == 0 {
-		r.repeats = 0 // without what rounding left
+		r.expectedRepeats = 0 // removes rounding errors
 	}
 }
 
-// Share is the probability that a call of one of the runs follows from a repeat.
+// Share returns the probability that a call made by one of the runs was caused by a repeat.
 func (r *Runs) Share() float64 {
 	if r.running == 0 {
 		return 0
 	}
-	return min(max(r.repeats/float64(r.running), 0), 1)
+	return min(max(r.expectedRepeats/float64(r.running), 0), 1)
 }
