--- a/internal/request/link/link.go
+++ b/internal/request/link/link.go
@@ -1,14 +1,14 @@
-// Package link decides which of the large bodies that share one direction of an
-// instance's link go now, and which wait. A link that all of them share at a time
-// brings the first one no sooner than the last, and what is small waits behind all
-// of them; one after the other the mean wait is about half.
+// Package link schedules the large bodies that share one direction of an instance's
+// link: it decides which are transferred now and which wait. If all of them share the
+// link at a time, the first completes no sooner than the last, and small messages wait
+// behind all of them; one after the other, the mean wait is about half.
 //
-// The load it answers: large requests (uploads) or large answers (downloads) that
-// ask for nearly all that the links carry. What comes in goes in order of arrival,
-// since a sender cannot be stopped midway; what goes out goes by the bytes left,
-// the shortest first (Schrage, "A Proof of the Optimality of the Shortest Remaining
-// Processing Time Discipline", 1968), which lets most of them be in time where not
-// all can be.
+// It is meant for large requests (uploads) or large answers (downloads) that need
+// nearly the full capacity of the links. Inbound bodies are transferred in order of
+// arrival, since a sender cannot be stopped midway. Outbound ones are ordered by the
+// remaining bytes, shortest first (Schrage, "A Proof of the Optimality of the Shortest
+// Remaining Processing Time Discipline", 1968), so that most of them are in time if
+// not all can be.
 //
 // The package does no I/O and reads no clock.
 package link
@@ -18,33 +18,35 @@
 	"time"
 )
 
-// usualBytes stands for a body whose length is not told.
-const usualBytes = 64 << 10
+// defaultBytes is assumed for a body of unknown length.
+const defaultBytes = 64 << 10
 
-// Order is which of the waiting bodies goes next.
+// Order is the scheduling order of the waiting bodies.
 type Order uint8
 
-// The orders.
 const (
-	// InOrder is by arrival.
+	// InOrder transfers bodies in order of arrival.
 	InOrder Order = iota
-	// ShortestFirst is by the bytes left; one that goes is stopped for a shorter.
+	// ShortestFirst transfers the body with the fewest remaining bytes first. It
+	// preempts an active body for a shorter one.
 	ShortestFirst
 )
 
-// Core is the bodies of one direction of a link. It is not safe for concurrent use.
+// Core schedules the bodies of one direction of a link. It is not safe for concurrent
+// use.
 type Core struct {
-	// rate is the link's bytes a second, most how many bodies go at a time.
-	rate  float64
-	most  int
-	order Order
-	// going are the bodies that go now, by ticket, with the bytes left; waiting are
-	// the others in order of arrival.
-	going   map[uint64]int64
+	// rate is the capacity of the link in bytes per second; maxActive is the maximum
+	// number of bodies transferred at a time.
+	rate      float64
+	maxActive int
+	order     Order
+	// active holds the remaining bytes of the bodies being transferred, by ticket id;
+	// waiting holds the other bodies in order of arrival.
+	active  map[uint64]int64
 	waiting []ticket
-	next    uint64
-	// expected is the bytes of bodies that are sure to come and have not arrived.
-	expected int64
+	lastID  uint64
+	// expectedBytes is the total length of announced bodies that have not arrived yet.
+	expectedBytes int64
 }
 
 type ticket struct {
@@ -52,20 +54,21 @@
 	bytes int64
 }
 
-// New returns a Core. rate is in bytes a second; most bodies go at a time.
-func New(rate float64, most int, order Order) *Core {
-	return &Core{rate: rate, most: most, order: order, going: map[uint64]int64{}}
+// New returns a Core for a link of rate bytes per second that transfers at most
+// maxActive bodies at a time.
+func New(rate float64, maxActive int, order Order) *Core {
+	return &Core{rate: rate, maxActive: maxActive, order: order, active: map[uint64]int64{}}
 }
 
-// Expect adds the bytes of a body to come, and takes them away again if they are
-// below 0.
-func (c *Core) Expect(bytes int64) { c.expected += bytes }
+// Expect announces a body that will arrive. A negative number withdraws the
+// announcement.
+func (c *Core) Expect(bytes int64) { c.expectedBytes += bytes }
 
-// Ahead is the bytes that a new body waits for if it has to let all others go first.
+// Ahead returns the number of bytes that a new body waits for if all others go first.
 func (c *Core) Ahead() int64 {
-	bytes := c.expected
-	for _, left := range c.going {
-		bytes += left
+	bytes := c.expectedBytes
+	for _, remaining := range c.active {
+		bytes += remaining
 	}
 	for _, t := range c.waiting {
 		bytes += t.bytes
@@ -73,59 +76,59 @@
 	return bytes
 }
 
-// Takes is how long a body of so many bytes takes the link, -1 if they are not told.
+// Takes returns how long the link needs for a body of the given length, -1 if unknown.
 func (c *Core) Takes(bytes int64) time.Duration {
-	return time.Duration(float64(lengthOf(bytes)) / c.rate * float64(time.Second))
+	return time.Duration(float64(lengthOrDefault(bytes)) / c.rate * float64(time.Second))
 }
 
-func lengthOf(bytes int64) int64 {
+func lengthOrDefault(bytes int64) int64 {
 	if bytes < 0 {
-		return usualBytes
+		return defaultBytes
 	}
 	return bytes
 }
 
-// Wait is how long a new body is expected to wait for those ahead.
+// Wait returns how long a new body is expected to wait for those ahead.
 func (c *Core) Wait() time.Duration { return c.Takes(c.Ahead()) }
 
-// Arrive takes in a body, -1 bytes if its length is not told. It returns the
-// body's ticket and whether it may go now.
+// Arrive adds a body, with -1 bytes if its length is unknown. It returns the body's
+// ticket id and whether its transfer may start now.
 func (c *Core) Arrive(bytes int64) (id uint64, now bool) {
-	bytes = lengthOf(bytes)
-	c.next++
-	if len(c.going) < c.most {
-		c.going[c.next] = bytes
-		return c.next, true
+	bytes = lengthOrDefault(bytes)
+	c.lastID++
+	if len(c.active) < c.maxActive {
+		c.active[c.lastID] = bytes
+		return c.lastID, true
 	}
-	c.waiting = append(c.waiting, ticket{c.next, bytes})
-	return c.next, false
+	c.waiting = append(c.waiting, ticket{c.lastID, bytes})
+	return c.lastID, false
 }
 
-// Went tells that a part of a body is through. It reports whether the body goes on;
-// if not it waits, and the one returned goes in its place.
-func (c *Core) Went(id uint64, bytes int) (goesOn bool, instead uint64) {
-	left, ok := c.going[id]
+// Went records that a part of a body was transferred. It reports whether the transfer
+// proceeds. If not, the body waits, and the transfer of replacement starts instead.
+func (c *Core) Went(id uint64, bytes int) (proceed bool, replacement uint64) {
+	remaining, ok := c.active[id]
 	if !ok {
 		return true, 0
 	}
-	left = max(0, left-int64(bytes))
-	c.going[id] = left
-	if c.order == InOrder || len(c.waiting) == 0 || left == 0 {
+	remaining = max(0, remaining-int64(bytes))
+	c.active[id] = remaining
+	if c.order == InOrder || len(c.waiting) == 0 || remaining == 0 {
 		return true, 0
 	}
-	first := c.first()
-	if c.waiting[first].bytes >= left {
+	next := c.nextIndex()
+	if c.waiting[next].bytes >= remaining {
 		return true, 0
 	}
-	t := c.waiting[first]
-	c.waiting[first] = ticket{id, left}
-	delete(c.going, id)
-	c.going[t.id] = t.bytes
+	t := c.waiting[next]
+	c.waiting[next] = ticket{id, remaining}
+	delete(c.active, id)
+	c.active[t.id] = t.bytes
 	return false, t.id
 }
 
-// first is the place of the body that goes next; some must wait.
-func (c *Core) first() int {
+// nextIndex returns the index of the next body to start; waiting must not be empty.
+func (c *Core) nextIndex() int {
 	if c.order == InOrder {
 		return 0
 	}
@@ -138,17 +141,17 @@
 	return best
 }
 
-// Leave takes a body out, whether it is through or not, and returns the tickets of
-// those that may go now.
+// Leave removes a body, whether it is complete or not, and returns the ticket ids of
+// the bodies whose transfer may start now.
 func (c *Core) Leave(id uint64) []uint64 {
-	delete(c.going, id)
+	delete(c.active, id)
 	c.waiting = slices.DeleteFunc(c.waiting, func(t ticket) bool { return t.id == id })
 	var started []uint64
-	for len(c.waiting) > 0 && len(c.going) < c.most {
-		i := c.first()
+	for len(c.waiting) > 0 && len(c.active) < c.maxActive {
+		i := c.nextIndex()
 		t := c.waiting[i]
 		c.waiting = slices.Delete(c.waiting, i, i+1)
-		c.going[t.id] = t.bytes
+		c.active[t.id] = t.bytes
 		started = append(started, t.id)
 	}
 	return started
--- a/internal/request/link/link_test.go
+++ b/internal/request/link/link_test.go
@@ -20,7 +20,7 @@
 	fourth, now := core.Arrive(-1)
 	c.Check(now, qt.IsFalse)
 	core.Went(first, 400)
-	c.Check(core.Ahead(), qt.Equals, int64(100+500+1000+usualBytes))
+	c.Check(core.Ahead(), qt.Equals, int64(100+500+1000+defaultBytes))
 	c.Check(core.Leave(fourth), qt.HasLen, 0)
 	c.Check(core.Wait(), qt.Equals, 1600*time.Millisecond)
 	c.Check(core.Leave(second), qt.DeepEquals, []uint64{third})
@@ -29,8 +29,8 @@
 	c.Check(core.Ahead(), qt.Equals, int64(0))
 }
 
-// TestShorterGoesFirst holds that a body is stopped midway for one that has fewer
-// bytes left, and goes on after it.
+// TestShorterGoesFirst checks that a body is preempted by one with fewer remaining
+// bytes and resumes after it.
 func TestShorterGoesFirst(t *testing.T) {
 	c := qt.New(t)
 	core := New(1000, 1, ShortestFirst)
@@ -60,7 +60,7 @@
 	l.Note("a", -1)
 	c.Check(l.Usual("a"), qt.Equals, int64(1100))
 	for range maxKinds {
-		l.Note(string(rune(0x4e00+len(l.usual))), 1)
+		l.Note(string(rune(0x4e00+len(l.smoothed))), 1)
 	}
 	l.Note("late", 1)
 	c.Check(l.Usual("late"), qt.Equals, int64(0))
