--- a/internal/request/once/claim.go
+++ b/internal/request/once/claim.go
@@ -1,11 +1,11 @@
-// Package once decides, for one request that must run at most once, whether it
-// may be sent to a backend server and what becomes of its claim afterwards.
+// Package once decides, for one request that must run at most once, whether it may be
+// sent to a backend server and what becomes of its claim afterwards.
 //
-// A caller names such a request with an idempotency key. The daemon that takes
-// it in claims the key on a majority of sources before the request leaves, and
-// records the answer after. A resend through any daemon finds the claim: it
-// gets the first answer, or is told to come back, or that the outcome is
-// unknown; it is never run a second time.
+// A caller identifies such a request with an idempotency key. The daemon that receives
+// the request claims the key on a majority of sources before it forwards the request,
+// and records the answer afterwards. A resend through any daemon finds the claim and
+// is not run a second time: it gets the first answer, or the code that the request is
+// still in progress, or the code that its outcome is unknown.
 //
 // The package does no I/O and reads no clock.
 package once
@@ -20,17 +20,17 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// MaxKeyLength bounds an idempotency key, in bytes.
+// MaxKeyLength is the maximum length of an idempotency key in bytes.
 const MaxKeyLength = 255
 
-// ID names a claim: a truncated SHA-256 of mesh and key, so that a claim has one
-// size and callers cannot make two keys collide.
+// ID identifies a claim. It is a truncated SHA-256 of mesh and key, so that claims have
+// a fixed size and callers cannot make two keys collide.
 //
-// Routes and services are left out: a resend must find its claim also when the
-// operators renamed its route or moved it to another service in between.
+// Route and service are not part of it: a resend must find its claim even if operators
+// renamed the route or moved it to another service in between.
 type ID [16]byte
 
-// NewID returns the ID of a key in a mesh.
+// NewID returns the ID for a key in a mesh.
 func NewID(mesh, key string) ID {
 	h := sha256.New()
 	_, _ = h.Write([]byte(mesh))
@@ -41,19 +41,19 @@
 	return id
 }
 
-// Request is what tells two requests under one key apart. The host is left out:
-// a resend through another daemon may name it by another address.
+// Request holds what distinguishes two requests with the same key. The host is not part
+// of it, because a resend through another daemon may use another address.
 type Request struct {
 	Method, Path, Query string
 	ContentType         string
-	// ContentLength is in bytes, -1 when it is not known beforehand.
+	// ContentLength is in bytes, -1 if not known in advance.
 	ContentLength int64
-	// Body is the whole body if it is small, else nil: a large one has not been
-	// read when the key is claimed.
+	// Body is the whole body if it is small, else nil: a large body has not been read
+	// yet when the key is claimed.
 	Body []byte
 }
 
-// Fingerprint hashes the request.
+// Fingerprint returns a hash of the request.
 func (r *Request) Fingerprint() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{r.Method, r.Path, r.Query, r.ContentType} {
@@ -67,36 +67,36 @@
 	return d.Sum64()
 }
 
-// Token names one attempt to run a request: no two attempts share one.
+// Token identifies one attempt to run a request. Tokens are unique.
 type Token struct {
-	// Node and Incarnation name the daemon's process that made the claim.
+	// Node and Incarnation identify the daemon process that made the claim.
 	Node        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Seq counts the claims of that process.
+	// Seq is the sequence number of the claim within that process.
 	Seq uint64 `cbor:"3,keyasint"`
 }
 
-// HeaderField is one line of an answer's header.
+// HeaderField is one line of the header of an answer.
 type HeaderField struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	Value string
 }
 
-// Answer is what is recorded of the first run.
+// Answer is the recorded result of the first run.
 type Answer struct {
-	// Code is OK for an answer of a backend server; a code of unknown outcome
-	// when the answer was lost on the way.
+	// Code is OK for an answer of a backend server, or a code of unknown outcome if the
+	// answer was lost.
 	Code   result.Code   `cbor:"1,keyasint,omitempty"`
 	Status int           `cbor:"2,keyasint,omitempty"`
 	Header []HeaderField `cbor:"3,keyasint,omitempty"`
 	Body   []byte        `cbor:"4,keyasint,omitempty"`
-	// Dropped tells that the request ran and its answer was not kept: it was
-	// too large, or had to make room. Then Header and Body are empty.
+	// Dropped is set if the request ran but its answer was not kept, because it was too
+	// large or was evicted. Header and Body are then empty.
 	Dropped bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Size is what an answer takes in memory, in bytes, roughly.
+// Size returns the approximate memory use of an answer in bytes.
 func (a *Answer) Size() int {
 	size := len(a.Body)
 	for _, f := range a.Header {
@@ -105,36 +105,35 @@
 	return size
 }
 
-// Verdict is what the claim table says to a command.
+// Verdict is the claim table's result for a command.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Granted: the token holds the claim; the request may run.
+	// Granted: the token holds the claim and the request may run.
 	Granted Verdict = iota + 1
-	// Held: another token holds the claim and has recorded no answer.
+	// Held: another token holds the claim and has not recorded an answer.
 	Held
-	// Answered: the first run has ended; Reply.Answer holds what is known.
+	// Answered: the first run has ended; Reply.Answer is its result.
 	Answered
 	// Mismatch: the key was used for a request with another fingerprint.
 	Mismatch
-	// Full: the table has no room; nothing was claimed.
+	// Full: the table is full; nothing was claimed.
 	Full
 	// Cancelled: the token was released before its claim arrived.
 	Cancelled
-	// Done: an answer was recorded or a claim released.
+	// Done: the answer was recorded or the claim was released.
 	Done
 	// NotHeld: the token does not hold the claim; nothing was changed.
 	NotHeld
 )
 
-// Reply answers one command.
+// Reply is the reply to one command.
 type Reply struct {
 	Verdict Verdict `cbor:"1,keyasint"`
-	// Owner holds the claim; set when Held.
+	// Owner is the holder of the claim; set if Held.
 	Owner Token `cbor:"2,keyasint"`
-	// Answer is set when Answered.
+	// Answer is set if Answered.
 	Answer *Answer `cbor:"3,keyasint,omitempty"`
-	// Wait is set when Full: how long until there may be room.
+	// Wait is the time until there may be room; set if Full.
 	Wait time.Duration `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/request/once/decide.go
+++ b/internal/request/once/decide.go
@@ -6,48 +6,48 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// When to come back, told with refusals.
+// Retry-After times of refusals.
 const (
-	// RetryInProgress is told while the first run is in progress.
-	RetryInProgress = time.Second
-	// RetryUnavailable is told while no majority of sources is reached.
-	RetryUnavailable = 2 * time.Second
-	// maxRetryFull bounds what is told when the table is full.
-	maxRetryFull = time.Minute
+	// RetryAfterInProgress applies while the first run is in progress.
+	RetryAfterInProgress = time.Second
+	// RetryAfterUnavailable applies while no majority of sources can be reached.
+	RetryAfterUnavailable = 2 * time.Second
+	// maxRetryAfterFull is the maximum if the table is full.
+	maxRetryAfterFull = time.Minute
 )
 
-// Step is what to do with a request after its claim was answered; at most one
-// of Refusal and Replay is set. With neither the request is to be sent on.
+// Step is what to do with a request after the reply to its claim. At most one of
+// Refusal and Replay is set; if neither is, the request is forwarded.
 type Step struct {
-	// Refusal ends the request without a run.
+	// Refusal is the final answer; the request is not run.
 	Refusal    *result.Error
 	RetryAfter time.Duration
-	// Replay is the first answer, to be sent again.
+	// Replay is the recorded first answer, which is sent again.
 	Replay *Answer
 }
 
-// Open decides on the reply to a claim. ownerLives is asked about the owner of
-// a held claim.
-func Open(reply Reply, ownerLives func(Token) bool) Step {
+// Open returns the step for the reply to a claim. ownerAlive reports whether the
+// process of the owner of a held claim is alive.
+func Open(reply Reply, ownerAlive func(Token) bool) Step {
 	switch reply.Verdict {
 	case Granted:
 		return Step{}
 	case Answered:
-		return openAnswered(reply.Answer)
+		return stepForAnswer(reply.Answer)
 	case Held:
-		if ownerLives(reply.Owner) {
-			return refuse(result.InProgress, RetryInProgress)
+		if ownerAlive(reply.Owner) {
+			return refuse(result.InProgress, RetryAfterInProgress)
 		}
 		return refuse(result.OwnerLost, 0)
 	case Mismatch:
 		return refuse(result.KeyReused, 0)
 	case Full:
-		return refuse(result.ClaimsFull, min(max(reply.Wait, time.Second), maxRetryFull))
+		return refuse(result.ClaimsFull, min(max(reply.Wait, time.Second), maxRetryAfterFull))
 	}
 	return Unavailable()
 }
 
-func openAnswered(a *Answer) Step {
+func stepForAnswer(a *Answer) Step {
 	if a.Dropped {
 		return refuse(result.AnswerNotKept, 0)
 	}
@@ -57,19 +57,19 @@
 	return Step{Replay: a}
 }
 
-// Unavailable refuses a request whose claim could not be made durable. This
-// sending certainly was not run, an earlier one may have; its token must be
-// released, because the claim may have been committed all the same.
-func Unavailable() Step { return refuse(result.ClaimsUnavailable, RetryUnavailable) }
+// Unavailable returns the refusal of a request whose claim could not be made durable.
+// The request has certainly not run this time, but an earlier send of it may have.
+// Its token must be released, because the claim may have been committed all the same.
+func Unavailable() Step { return refuse(result.ClaimsUnavailable, RetryAfterUnavailable) }
 
-func refuse(code result.Code, after time.Duration) Step {
-	return Step{Refusal: result.Errorf(code, "%s", code.Meaning()), RetryAfter: after}
+func refuse(code result.Code, retryAfter time.Duration) Step {
+	return Step{Refusal: result.Errorf(code, "%s", code.Meaning()), RetryAfter: retryAfter}
 }
 
-// Close returns what is recorded of a run that ended with code, or nil if the
-// claim is to be released, because the request certainly was not run. answer is
-// the whole answer of the backend server; nil with result.OK means that it was
-// too large to be kept.
+// Close returns the answer to record for a run that ended with code, or nil if the
+// claim is to be released because the request has certainly not run. answer is the
+// whole answer of the backend server; nil with result.OK means that it was too large
+// to be kept.
 func Close(code result.Code, answer *Answer) *Answer {
 	switch {
 	case code.Outcome() == result.NotRun:
