--- a/internal/request/quarantine/core.go
+++ b/internal/request/quarantine/core.go
@@ -6,118 +6,116 @@
 	"time"
 )
 
-// lossWindow is the time within which several lost connections count as one
+// connectionLossWindow is the time within which lost connections are attributed to one
 // event.
-const lossWindow = time.Second
+const connectionLossWindow = time.Second
 
-// death is one crash of a server.
-type death struct {
-	// lost is when the first connection was lost, and found when the server was
-	// seen to have crashed.
-	lost, found time.Time
+// crashEvent is one crash of a server.
+type crashEvent struct {
+	// firstLost is when the first connection was lost; detected is when the crash was
+	// detected.
+	firstLost, detected time.Time
 }
 
 // Fate is how a run ended.
 type Fate uint8
 
-// The fates.
 const (
-	// Well ended runs gave a whole answer.
+	// Well: the server sent a whole answer.
 	Well Fate = iota + 1
-	// GivenUp runs were ended by this side, or never reached the server.
+	// GivenUp: the run was ended by this daemon or never reached the server.
 	GivenUp
-	// Lost runs lost their connection by the server's doing.
+	// Lost: the server closed the connection.
 	Lost
 )
 
-// run is one request that a server beside this daemon runs.
+// run is one request in progress on a server of this daemon's instance.
 type run struct {
 	identity Identity
-	// alone is set while nothing else runs on the server.
-	alone bool
-	began time.Time
-	// lost is when its connection was lost; zero while it holds.
-	lost time.Time
-	// blamed is set once a crash of the server was reported for it.
-	blamed bool
+	// alone is set if nothing else runs on the server.
+	alone     bool
+	startedAt time.Time
+	// lostAt is when the connection was lost; zero while it is open.
+	lostAt time.Time
+	// reported is set once a crash of the server was reported for this run.
+	reported bool
 }
 
-// Core is what one daemon knows. It is not safe for concurrent use.
+// Core is the quarantine state of one daemon. It is not safe for concurrent use.
 type Core struct {
 	ledger ledger
 	nextID uint64
-	// servers are the runs in progress by the server's address; no map in it is
-	// empty.
+	// servers holds the runs in progress by server address; no inner map is empty.
 	servers map[string]map[uint64]*run
-	// deaths are the last crashes by the server's address.
-	deaths map[string]death
+	// lastCrashes holds the last crash of each server by address.
+	lastCrashes map[string]crashEvent
 }
 
-// New returns a Core that suspects nothing.
+// New returns a Core without suspects.
 func New(cfg Config) *Core {
 	return &Core{
-		ledger:  ledger{cfg: cfg, own: map[Fingerprint]Suspect{}, others: map[Fingerprint][]Suspect{}},
-		servers: map[string]map[uint64]*run{},
-		deaths:  map[string]death{},
+		ledger:      ledger{cfg: cfg, own: map[Fingerprint]Suspect{}, others: map[Fingerprint][]Suspect{}},
+		servers:     map[string]map[uint64]*run{},
+		lastCrashes: map[string]crashEvent{},
 	}
 }
 
-// Learn replaces what the other daemons report.
-func (c *Core) Learn(reports []Suspect) { c.ledger.learn(reports) }
+// Learn replaces the reports of the other daemons.
+func (c *Core) Learn(reports []Suspect) { c.ledger.setRemoteReports(reports) }
 
-// Quiet reports whether no request of any kind is suspected.
+// Quiet reports whether there are no reports at all.
 func (c *Core) Quiet() bool { return c.ledger.empty() }
 
-// Known counts the requests that are suspected.
+// Known returns the number of suspects.
 func (c *Core) Known(now time.Time) int { return c.ledger.count(now) }
 
-// Judge says how a request may run.
+// Judge returns how a request may run.
 func (c *Core) Judge(now time.Time, f Fingerprint) Verdict { return c.ledger.judge(now, f) }
 
-// Told takes in that another daemon saw a crash with the request in progress,
-// alone or not. It reports whether that was not known yet.
+// Told records that another daemon observed a crash while the request was in progress,
+// alone or not. It reports whether that was new.
 func (c *Core) Told(now time.Time, f Fingerprint, alone bool) bool {
-	return c.ledger.told(now, f, alone)
+	return c.ledger.addRemoteCrash(now, f, alone)
 }
 
-// Reports returns what this daemon reports to the fleet.
+// Reports returns the reports of this daemon, which are sent to all others.
 func (c *Core) Reports() []Suspect { return c.ledger.reports() }
 
-// Begin notes that a request is handed to the server at addr. It returns a
-// number for End.
+// Begin records that a request is handed to the server at addr. It returns the run's
+// id for Drop and End.
 func (c *Core) Begin(now time.Time, addr string, id Identity, alone bool) uint64 {
 	c.nextID++
 	if c.servers[addr] == nil {
 		c.servers[addr] = map[uint64]*run{}
 	}
-	c.servers[addr][c.nextID] = &run{identity: id, alone: alone, began: now}
+	c.servers[addr][c.nextID] = &run{identity: id, alone: alone, startedAt: now}
 	return c.nextID
 }
 
-// Drop notes that a run's connection was lost by the server's doing. Whether
-// the server crashed is then to be found out, and told with End.
+// Drop records that the server closed a run's connection. The caller must then find
+// out whether the server crashed, and call End.
 func (c *Core) Drop(now time.Time, addr string, id uint64) {
 	if r := c.servers[addr][id]; r != nil {
-		r.lost = now
+		r.lostAt = now
 	}
 }
 
-// End notes that nothing of a run is in progress any more. listening tells, of
-// a Lost run, whether the server still takes connections. It reports whether
-// the server crashed, and whether the reports have changed.
+// End records the end of a run. For a Lost run, listening tells whether the server
+// still accepts connections. End reports whether the server crashed, and whether the
+// reports have changed.
 func (c *Core) End(now time.Time, addr string, id uint64, fate Fate, listening bool) (crashed, changed bool) {
 	r := c.servers[addr][id]
 	if r == nil {
 		return false, false
 	}
 	switch {
-	case fate == Well && (r.alone || r.blamed):
+	case fate == Well && (r.alone || r.reported):
 		changed = c.ledger.clear(now, r.identity.Fingerprint())
-	case fate == Lost && r.blamed:
+	case fate == Lost && r.reported:
 		crashed = true
-	case fate == Lost && (!listening || !c.ledger.cfg.SlowRestart && c.restarted(addr)):
+	case fate == Lost && (!listening || !c.ledger.cfg.SlowRestart && c.hasRestarted(addr)):
 		crashed, changed = true, true
-		c.crash(now, addr)
+		c.reportCrash(now, addr)
 	}
 	delete(c.servers[addr], id)
 	if len(c.servers[addr]) == 0 {
@@ -126,73 +124,73 @@
 	return crashed, changed
 }
 
-// restarted reports whether a server that takes connections crashed and came
-// back: several runs lost their connections at one time, and none that was in
-// progress then goes on. One lost connection beside others that hold is no
-// crash.
-func (c *Core) restarted(addr string) bool {
+// hasRestarted reports whether a server that accepts connections has crashed and
+// restarted: several runs lost their connections at about the same time, and no run
+// in progress at that time continues. One lost connection among others that stay open
+// is no crash.
+func (c *Core) hasRestarted(addr string) bool {
 	var first time.Time
 	lost := 0
 	for _, r := range c.servers[addr] {
-		if r.lost.IsZero() {
+		if r.lostAt.IsZero() {
 			continue
 		}
 		lost++
-		if first.IsZero() || r.lost.Before(first) {
-			first = r.lost
+		if first.IsZero() || r.lostAt.Before(first) {
+			first = r.lostAt
 		}
 	}
 	for _, r := range c.servers[addr] {
-		if r.lost.IsZero() && r.began.Before(first) {
+		if r.lostAt.IsZero() && r.startedAt.Before(first) {
 			return false
 		}
 	}
 	return lost > 1
 }
 
-// lostBefore reports whether a run lost its connection in an earlier event.
-func (r *run) lostBefore(now time.Time) bool {
-	return !r.lost.IsZero() && now.Sub(r.lost) > lossWindow
+// lostInEarlierEvent reports whether the run lost its connection in an earlier event.
+func (r *run) lostInEarlierEvent(now time.Time) bool {
+	return !r.lostAt.IsZero() && now.Sub(r.lostAt) > connectionLossWindow
 }
 
-// beganIn reports whether a run began on what was left of a server that died.
-func (r *run) beganIn(d death) bool {
-	return r.began.After(d.lost) && !r.began.After(d.found)
+// startedDuring reports whether the run started while the server was already crashing.
+func (r *run) startedDuring(event crashEvent) bool {
+	return r.startedAt.After(event.firstLost) && !r.startedAt.After(event.detected)
 }
 
-// died returns the present crash of a server, found now unless it was known.
-func (c *Core) died(now time.Time, addr string) death {
-	if known := c.deaths[addr]; now.Sub(known.lost) <= lossWindow {
+// currentCrash returns the ongoing crash of a server, or records a new one detected now.
+func (c *Core) currentCrash(now time.Time, addr string) crashEvent {
+	if known := c.lastCrashes[addr]; now.Sub(known.firstLost) <= connectionLossWindow {
 		return known
 	}
-	d := death{lost: now, found: now}
+	event := crashEvent{firstLost: now, detected: now}
 	for _, r := range c.servers[addr] {
-		if !r.lost.IsZero() && !r.lostBefore(now) && r.lost.Before(d.lost) {
-			d.lost = r.lost
+		if !r.lostAt.IsZero() && !r.lostInEarlierEvent(now) && r.lostAt.Before(event.firstLost) {
+			event.firstLost = r.lostAt
 		}
 	}
-	c.deaths[addr] = d
-	return d
+	c.lastCrashes[addr] = event
+	return event
 }
 
-// crash reports every run in progress on a server when it crashed. Runs of one
-// request count once. A run that began after the first connection was lost did
-// not crash the server: a process that ends closes its connections one by one,
-// and a request can still be written to a later one.
-func (c *Core) crash(now time.Time, addr string) {
+// reportCrash reports every run that was in progress on a server when it crashed. Runs
+// of the same request count once. Runs that started after the first connection was lost
+// are not reported, because they did not cause the crash: a process that ends closes
+// its connections one by one, and a request can still be written to a later one.
+func (c *Core) reportCrash(now time.Time, addr string) {
 	runs := c.servers[addr]
-	alone := map[Fingerprint]bool{}
-	died := c.died(now, addr)
+	ranAlone := map[Fingerprint]bool{}
+	event := c.currentCrash(now, addr)
 	for _, id := range slices.Sorted(maps.Keys(runs)) {
 		r := runs[id]
-		if r.blamed || r.lostBefore(now) || r.beganIn(died) {
+		if r.reported || r.lostInEarlierEvent(now) || r.startedDuring(event) {
 			continue
 		}
-		r.blamed = true
+		r.reported = true
 		f := r.identity.Fingerprint()
-		alone[f] = alone[f] || r.alone
+		ranAlone[f] = ranAlone[f] || r.alone
 	}
-	for _, f := range slices.Sorted(maps.Keys(alone)) {
-		c.ledger.blame(now, f, alone[f], false)
+	for _, f := range slices.Sorted(maps.Keys(ranAlone)) {
+		c.ledger.addCrash(now, f, ranAlone[f], false)
 	}
 }
--- a/internal/request/quarantine/core_test.go
+++ b/internal/request/quarantine/core_test.go
@@ -15,7 +15,7 @@
 )
 
 func init() {
-	// The same sequences each time; -rapid.seed asks for others.
+	// A fixed seed makes the sequences reproducible; -rapid.seed overrides it.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
 }
@@ -31,13 +31,13 @@
 	return id.Fingerprint()
 }
 
-// TestSessions runs whole sessions of daemons a, b and c, each beside one
-// server. A line is
+// TestSessions replays golden sessions of the daemons a, b and c, each with one server on
+// its instance. A line is
 //
 //	<second> <daemon> begin|alone|drop|well|lost|cut|left|judge <request>
 //
-// lost ends a run whose server no longer listens, cut one whose server does.
-// Reports are spread after each line that changed them.
+// lost ends a run whose server no longer listens, cut one whose server still does.
+// Reports are exchanged after each line.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
 		f := newFleet()
@@ -49,7 +49,7 @@
 				_, err := fmt.Sscan(line, &second, &daemon, &event, &request)
 				qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", line))
 				f.now = start.Add(time.Duration(second) * time.Second)
-				fmt.Fprintf(&out, "%s -> %s\n", line, f.step(daemon, event, request))
+				fmt.Fprintf(&out, "%s -> %s\n", line, f.runEvent(daemon, event, request))
 				f.spread()
 			}
 			return out.String()
@@ -58,13 +58,13 @@
 }
 
 type fleet struct {
-	now   time.Time
-	cores map[string]*quarantine.Core
-	runs  map[string]uint64
+	now    time.Time
+	cores  map[string]*quarantine.Core
+	runIDs map[string]uint64
 }
 
 func newFleet() *fleet {
-	f := &fleet{now: start, cores: map[string]*quarantine.Core{}, runs: map[string]uint64{}}
+	f := &fleet{now: start, cores: map[string]*quarantine.Core{}, runIDs: map[string]uint64{}}
 	for _, name := range daemons {
 		f.cores[name] = quarantine.New(quarantine.DefaultConfig())
 	}
@@ -88,18 +88,18 @@
 	}
 }
 
-func (f *fleet) step(daemon, event, request string) string {
+func (f *fleet) runEvent(daemon, event, request string) string {
 	core, run := f.cores[daemon], daemon+request
 	end := func(fate quarantine.Fate, listening bool) string {
-		crashed, changed := core.End(f.now, daemon, f.runs[run], fate, listening)
+		crashed, changed := core.End(f.now, daemon, f.runIDs[run], fate, listening)
 		return fmt.Sprintf("crashed %t, changed %t", crashed, changed)
 	}
 	switch event {
 	case "begin", "alone":
-		f.runs[run] = core.Begin(f.now, daemon, identity(request), event == "alone")
+		f.runIDs[run] = core.Begin(f.now, daemon, identity(request), event == "alone")
 		return "runs"
 	case "drop":
-		core.Drop(f.now, daemon, f.runs[run])
+		core.Drop(f.now, daemon, f.runIDs[run])
 		return "lost its connection"
 	case "well":
 		return end(quarantine.Well, true)
@@ -119,60 +119,60 @@
 	return "free"
 }
 
-// TestCulpritIsFound sends requests through three daemons, some of which crash
-// every server and are sent again after that, and kills servers besides, against an oracle that knows the
-// culprits: each is refused everywhere after at most two crashes, or three if
-// the other servers crashed around the second, a suspect
-// never takes innocents down, and no innocent is refused but one that was
-// running alone when its server was killed.
+// TestCulpritIsFound sends requests through three daemons and kills servers. Some of the
+// requests crash every server and are sent again afterwards. An oracle that knows them
+// checks that each is refused everywhere after at most two crashes, or three if the other
+// servers crashed around the second; that a suspect never runs together with others; and
+// that a harmless request is only refused if it ran alone when its server was killed.
 func TestCulpritIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{fleet: newFleet(), servers: map[string]map[string]bool{}, crashes: map[string]int{}, unlucky: map[string]bool{}, alone: map[string][]crash{}}
+		o := &oracle{fleet: newFleet(), runs: map[string]map[string]bool{}, crashes: map[string]int{}, killedAlone: map[string]bool{}, aloneCrashes: map[string][]crash{}}
 		for _, d := range daemons {
-			o.servers[d] = map[string]bool{}
+			o.runs[d] = map[string]bool{}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"send":    o.send,
-			"proceed": o.proceed,
+			"proceed": o.endOne,
 			"kill":    o.kill,
-			"cut":     o.cut,
-			"rest":    o.rest,
+			"cut":     o.cutConnection,
+			"rest":    o.pause,
 			"":        o.check,
 		})
-		o.forgiven(t)
+		o.checkAllFree(t)
 	})
 }
 
 var (
-	innocents = []string{"i1", "i2", "i3", "i4"}
-	culprits  = []string{"x", "y"}
+	harmlessRequests = []string{"i1", "i2", "i3", "i4"}
+	crashingRequests = []string{"x", "y"}
 )
 
 type oracle struct {
 	*fleet
-	// servers are the runs in progress, by request; the value is whether alone.
-	servers map[string]map[string]bool
+	// runs holds the runs in progress by server and request; the value is whether it runs alone.
+	runs    map[string]map[string]bool
 	crashes map[string]int
-	// unlucky innocents ran alone when their server was killed.
-	unlucky map[string]bool
-	// all are the crashes of servers, alone those at which a request ran alone.
-	all   []crash
-	alone map[string][]crash
+	// killedAlone are the harmless requests that ran alone when their server was killed.
+	killedAlone map[string]bool
+	// allCrashes are all crashes of servers, aloneCrashes those at which a request ran
+	// alone, by request.
+	allCrashes   []crash
+	aloneCrashes map[string][]crash
 }
 
 type crash struct {
-	at   string
-	when time.Time
+	server string
+	at     time.Time
 }
 
-// excused reports whether a request may be excused once: servers beside both
-// other daemons crashed within two seconds of a crash at which it ran alone.
+// excused reports whether a request may be excused once: servers of both other daemons
+// crashed within two seconds of a crash at which it ran alone.
 func (o *oracle) excused(request string) bool {
-	for _, own := range o.alone[request] {
+	for _, own := range o.aloneCrashes[request] {
 		others := map[string]bool{}
-		for _, other := range o.all {
-			if other.at != own.at && other.when.Sub(own.when).Abs() < 2*time.Second {
-				others[other.at] = true
+		for _, other := range o.allCrashes {
+			if other.server != own.server && other.at.Sub(own.at).Abs() < 2*time.Second {
+				others[other.server] = true
 			}
 		}
 		if len(others) == 2 {
@@ -182,17 +182,16 @@
 	return false
 }
 
-// rest lets crashes before and after be apart; all rests together stay below
-// the shortest refusal.
-func (o *oracle) rest(*rapid.T) {
+// pause separates crashes in time. All pauses together stay below the shortest refusal.
+func (o *oracle) pause(*rapid.T) {
 	if o.now.Before(start.Add(45 * time.Second)) {
 		o.now = o.now.Add(5 * time.Second)
 	}
 }
 
-func (o *oracle) inProgress(request string) bool {
-	for _, runs := range o.servers {
-		if _, ok := runs[request]; ok {
+func (o *oracle) isRunning(request string) bool {
+	for _, serverRuns := range o.runs {
+		if _, ok := serverRuns[request]; ok {
 			return true
 		}
 	}
@@ -201,34 +200,34 @@
 
 func (o *oracle) send(t *rapid.T) {
 	o.now = o.now.Add(10 * time.Millisecond)
-	request := rapid.SampledFrom(append(culprits, innocents...)).Draw(t, "request")
+	request := rapid.SampledFrom(append(crashingRequests, harmlessRequests...)).Draw(t, "request")
 	via := rapid.SampledFrom(daemons).Draw(t, "via")
-	if request[0] != 'i' && o.inProgress(request) {
+	if request[0] != 'i' && o.isRunning(request) {
 		return
 	}
 	verdict := o.cores[via].Judge(o.now, fingerprint(request))
 	if verdict.Mode == quarantine.Refused {
-		if request[0] == 'i' && !o.unlucky[request] {
-			t.Fatalf("innocent %s is refused", request)
+		if request[0] == 'i' && !o.killedAlone[request] {
+			t.Fatalf("harmless request %s is refused", request)
 		}
 		return
 	}
 	to := rapid.SampledFrom(daemons).Draw(t, "to")
-	if _, runs := o.servers[to][request]; runs {
+	if _, running := o.runs[to][request]; running {
 		return
 	}
 	alone := verdict.Mode == quarantine.Alone || o.cores[to].Judge(o.now, fingerprint(request)).Mode == quarantine.Alone
 	if !o.admits(to, alone) {
 		return
 	}
-	o.servers[to][request] = alone
-	o.step(to, map[bool]string{false: "begin", true: "alone"}[alone], request)
+	o.runs[to][request] = alone
+	o.runEvent(to, map[bool]string{false: "begin", true: "alone"}[alone], request)
 }
 
-// admits is the admission beside the server: a request that runs alone has it
-// for itself.
+// admits models the admission control of a server: a request that runs alone has the
+// server for itself.
 func (o *oracle) admits(to string, alone bool) bool {
-	for _, other := range o.servers[to] {
+	for _, other := range o.runs[to] {
 		if alone || other {
 			return false
 		}
@@ -236,11 +235,11 @@
 	return true
 }
 
-// proceed lets one request end: a culprit by a crash, an innocent well.
-func (o *oracle) proceed(t *rapid.T) {
+// endOne ends one request: a crashing one by a crash, a harmless one with an answer.
+func (o *oracle) endOne(t *rapid.T) {
 	at := rapid.SampledFrom(daemons).Draw(t, "at")
-	for _, request := range append(culprits, innocents...) {
-		if _, runs := o.servers[at][request]; !runs {
+	for _, request := range append(crashingRequests, harmlessRequests...) {
+		if _, running := o.runs[at][request]; !running {
 			continue
 		}
 		if request[0] != 'i' {
@@ -248,9 +247,9 @@
 			o.crash(t, at)
 			return
 		}
-		o.step(at, "well", request)
-		delete(o.servers[at], request)
-		delete(o.unlucky, request)
+		o.runEvent(at, "well", request)
+		delete(o.runs[at], request)
+		delete(o.killedAlone, request)
 		o.spread()
 		return
 	}
@@ -258,26 +257,26 @@
 
 func (o *oracle) kill(t *rapid.T) {
 	at := rapid.SampledFrom(daemons).Draw(t, "at")
-	for request, alone := range o.servers[at] {
-		o.unlucky[request] = o.unlucky[request] || alone
+	for request, alone := range o.runs[at] {
+		o.killedAlone[request] = o.killedAlone[request] || alone
 	}
 	o.crash(t, at)
 }
 
-// crash ends every run of a server in any order; the server may be back before
-// its daemon looks.
+// crash ends every run of a server, in any order. The server may be restarted before its
+// daemon checks whether it listens.
 func (o *oracle) crash(t *rapid.T, at string) {
-	o.all = append(o.all, crash{at, o.now})
-	for request, alone := range o.servers[at] {
+	o.allCrashes = append(o.allCrashes, crash{at, o.now})
+	for request, alone := range o.runs[at] {
 		if alone {
-			o.alone[request] = append(o.alone[request], crash{at, o.now})
+			o.aloneCrashes[request] = append(o.aloneCrashes[request], crash{at, o.now})
 		}
 	}
 	var requests []string
-	for _, request := range append(culprits, innocents...) {
-		if _, runs := o.servers[at][request]; runs {
+	for _, request := range append(crashingRequests, harmlessRequests...) {
+		if _, running := o.runs[at][request]; running {
 			requests = append(requests, request)
-			o.step(at, "drop", request)
+			o.runEvent(at, "drop", request)
 		}
 	}
 	event := "lost"
@@ -285,23 +284,23 @@
 		event = "cut"
 	}
 	for _, request := range rapid.Permutation(requests).Draw(t, "order") {
-		o.step(at, event, request)
+		o.runEvent(at, event, request)
 	}
-	o.servers[at] = map[string]bool{}
+	o.runs[at] = map[string]bool{}
 	o.spread()
 }
 
-// cut closes the connection of one request while the server goes on.
-func (o *oracle) cut(t *rapid.T) {
+// cutConnection closes the connection of one request while the server keeps running.
+func (o *oracle) cutConnection(t *rapid.T) {
 	at := rapid.SampledFrom(daemons).Draw(t, "at")
-	for _, request := range innocents {
-		if _, runs := o.servers[at][request]; runs && len(o.servers[at]) != 2 {
+	for _, request := range harmlessRequests {
+		if _, running := o.runs[at][request]; running && len(o.runs[at]) != 2 {
 			before := len(o.cores[at].Reports())
-			o.step(at, "drop", request)
-			o.step(at, "cut", request)
-			delete(o.servers[at], request)
+			o.runEvent(at, "drop", request)
+			o.runEvent(at, "cut", request)
+			delete(o.runs[at], request)
 			if len(o.cores[at].Reports()) != before {
-				t.Fatalf("a cut connection of %s was taken for a crash", request)
+				t.Fatalf("a closed connection of %s was reported as a crash", request)
 			}
 			return
 		}
@@ -323,21 +322,21 @@
 			}
 		}
 	}
-	for at, runs := range o.servers {
-		for request, alone := range runs {
-			if alone && len(runs) > 1 {
-				t.Fatalf("%s runs beside others at %s", request, at)
+	for at, serverRuns := range o.runs {
+		for request, alone := range serverRuns {
+			if alone && len(serverRuns) > 1 {
+				t.Fatalf("%s does not run alone at %s", request, at)
 			}
 		}
 	}
 }
 
-// forgiven checks that in the end nobody is refused for good.
-func (o *oracle) forgiven(t *rapid.T) {
+// checkAllFree checks that no harmless request is refused forever.
+func (o *oracle) checkAllFree(t *rapid.T) {
 	cfg := quarantine.DefaultConfig()
 	o.now = o.now.Add(cfg.MaxHold + cfg.Memory)
 	for _, d := range daemons {
-		for _, request := range innocents {
+		for _, request := range harmlessRequests {
 			if v := o.cores[d].Judge(o.now, fingerprint(request)); v.Mode != quarantine.Free {
 				t.Fatalf("%s is not free at %s", request, d)
 			}
--- a/internal/request/quarantine/crash_test.go
+++ b/internal/request/quarantine/crash_test.go
@@ -9,21 +9,21 @@
 	"github.com/daisygate/daisygate/internal/request/quarantine"
 )
 
-// TestLateRunIsNotBlamed plays the end of a process that closes its connections
-// one by one: a suspect that ran alone on one of the last did not crash it.
+// TestLateRunIsNotBlamed covers a process that ends and closes its connections one by one:
+// a suspect that ran alone on one of the last connections did not cause the crash.
 func TestLateRunIsNotBlamed(t *testing.T) {
 	for name, innocentEndsFirst := range map[string]bool{"culprit ends first": false, "innocent ends first": true} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			core := quarantine.New(quarantine.DefaultConfig())
 			at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-			// A first crash makes both suspects.
+			// A first crash makes both requests suspects.
 			a, b := core.Begin(at(0), "s1", identity("culprit"), false), core.Begin(at(0), "s1", identity("innocent"), false)
 			core.Drop(at(10), "s1", a)
 			core.End(at(60), "s1", a, quarantine.Lost, false)
 			core.Drop(at(10), "s1", b)
 			core.End(at(60), "s1", b, quarantine.Lost, false)
-			// The culprit runs alone; the innocent begins on what is left of the server.
+			// The crashing request runs alone; the harmless one starts on a connection that is still open.
 			culprit := core.Begin(at(100), "s2", identity("culprit"), true)
 			core.Drop(at(110), "s2", culprit)
 			innocent := core.Begin(at(111), "s2", identity("innocent"), true)
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestResetsAreNoCrash loses several connections of a server that goes on
-// listening: where a crash takes seconds, nobody is blamed.
+// TestResetsAreNoCrash closes several connections of a server that keeps listening. If
+// restarts are slow, this must not count as a crash.
 func TestResetsAreNoCrash(t *testing.T) {
 	for slow, want := range map[bool]quarantine.Mode{false: quarantine.Alone, true: quarantine.Free} {
 		c := qt.New(t)
--- a/internal/request/quarantine/excuse.go
+++ b/internal/request/quarantine/excuse.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// crashWindow is the time around a crash within which other crashes may have
-	// the same cause, for instance the loss of a rack.
+	// crashWindow is the time around a crash within which other crashes may have the same
+	// cause, for instance the failure of a rack.
 	crashWindow = 2 * time.Second
-	// excusingCrashes is beside how many daemons a server must have crashed
-	// meanwhile, besides the one at which the request ran alone. One is where it
-	// became a suspect.
-	excusingCrashes = 2
-	// excusedCrashes is the Crashes up to which a request may be excused: one
-	// crash alone.
-	excusedCrashes = 2
+	// minOtherCrashes is the number of other daemons that must have observed crashes of
+	// their servers within crashWindow for a request to be excused. One is not enough,
+	// because the crash at which the request became a suspect may count as one.
+	minOtherCrashes = 2
+	// maxExcusedCrashes is the value of Suspect.Crashes up to which a request may be
+	// excused: it includes a single crash at which the request ran alone.
+	maxExcusedCrashes = 2
 )
 
-// crashed is when the crash of a report was.
-func (c *Config) crashed(r *Suspect) time.Time {
-	return r.Until.Add(-c.hold(r.Crashes) - c.Memory)
+// crashTime returns the time of the crash that a report is about.
+func (c *Config) crashTime(r *Suspect) time.Time {
+	return r.Until.Add(-c.holdTime(r.Crashes) - c.Memory)
 }
 
-// excused reports whether the crash at which s ran alone may have the cause of
-// others around it. Such a request runs alone once more; a further crash alone
-// is never excused. Until the reports of the other crashes have come it is
-// refused.
+// excused reports whether the crash at which s ran alone may have the same cause as
+// others around that time. An excused request runs alone once more; a further crash at
+// which it runs alone is never excused. The request is refused until the reports of the
+// other crashes have arrived.
 func (l *ledger) excused(now time.Time, s Suspect) bool {
-	if s.Crashes != excusedCrashes {
+	if s.Crashes != maxExcusedCrashes {
 		return false
 	}
-	at, by := l.ranAlone(now, s)
+	at, by := l.lastAloneCrash(now, s)
 	others := 0
-	for source, times := range l.seen {
-		if !by[source] && near(at, times) {
+	for source, times := range l.crashTimes {
+		if !by[source] && anyWithinCrashWindow(at, times) {
 			others++
 		}
 	}
-	if !by[""] && near(at, l.ownCrashes()) {
+	if !by[""] && anyWithinCrashWindow(at, l.ownCrashTimes()) {
 		others++
 	}
-	return others >= excusingCrashes
+	return others >= minOtherCrashes
 }
 
-// ranAlone returns when s crashed a server alone, and which daemons saw that.
-func (l *ledger) ranAlone(now time.Time, s Suspect) (at time.Time, by map[string]bool) {
+// lastAloneCrash returns when s last crashed a server while it ran alone, and the sources
+// of the daemons that observed that.
+func (l *ledger) lastAloneCrash(now time.Time, s Suspect) (at time.Time, by map[string]bool) {
 	reports := append([]Suspect{}, l.others[s.Fingerprint]...)
 	if own, reported := l.own[s.Fingerprint]; reported {
 		reports = append(reports, own)
@@ -50,10 +51,10 @@
 	cleared := clearedUntil(reports)
 	by = map[string]bool{}
 	for _, r := range reports {
-		if !r.holds(now, cleared) || r.Crashes != s.Crashes {
+		if !r.isActive(now, cleared) || r.Crashes != s.Crashes {
 			continue
 		}
-		if when := l.cfg.crashed(&r); when.After(at) {
+		if when := l.cfg.crashTime(&r); when.After(at) {
 			at = when
 		}
 		if !r.Told {
@@ -63,17 +64,17 @@
 	return at, by
 }
 
-func (l *ledger) ownCrashes() []time.Time {
+func (l *ledger) ownCrashTimes() []time.Time {
 	var times []time.Time
 	for _, r := range l.own {
 		if r.Crashes > 0 && !r.Told {
-			times = append(times, l.cfg.crashed(&r))
+			times = append(times, l.cfg.crashTime(&r))
 		}
 	}
 	return times
 }
 
-func near(at time.Time, times []time.Time) bool {
+func anyWithinCrashWindow(at time.Time, times []time.Time) bool {
 	for _, t := range times {
 		if t.Sub(at).Abs() < crashWindow {
 			return true
--- a/internal/request/quarantine/fingerprint.go
+++ b/internal/request/quarantine/fingerprint.go
@@ -1,20 +1,19 @@
-// Package quarantine finds requests that crash backend servers and keeps them
-// away from the rest.
+// Package quarantine finds requests that crash backend servers and isolates them.
 //
-// Requests in progress at a crash are suspects, and blamed for nothing yet. A
-// suspect that is sent again runs alone: if it ends well it is cleared, if its
-// server crashes again it is the culprit and is refused everywhere for a while
-// that grows with each further crash. So a request that crashes every server is
-// found at its second crash, and an ordinary crash blames nobody.
+// All requests in progress at a crash become suspects, but none is blamed yet. A suspect
+// that is sent again runs alone on its server. If it ends well, it is cleared; if the
+// server crashes again, the request is refused everywhere for a time that doubles with
+// each further crash. So a request that crashes every server is found at its second
+// crash, and an unrelated crash leads to no refusal.
 //
-// When servers beside two further daemons crash within two seconds of the crash
-// at which a request ran alone, as at the loss of a rack, that crash may not be
-// its doing: it runs alone once more. So the second crash of a request that
-// falls into such a time is excused once, and it is found at the next.
+// If servers of two other daemons crash within two seconds of the crash at which a
+// request ran alone, for instance because a rack failed, the request may not be the
+// cause, and it runs alone once more. A request is excused only once, so a request
+// whose second crash coincides with such a failure is found at its third.
 //
-// Each daemon reports what it saw beside itself; the reports of all daemons are
-// spread with presence and joined here. The package does no I/O and reads no
-// clock.
+// Each daemon reports the crashes on its own instance. The reports are disseminated
+// with presence, and each daemon combines those of all daemons. The package does no I/O
+// and reads no clock.
 package quarantine
 
 import (
@@ -25,25 +24,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies a request that is sent again.
+// Fingerprint identifies a request across resends.
 type Fingerprint uint64
 
-// Identity is what a Fingerprint is made of. Host is left out: a resend through
-// another daemon may name it by another address.
+// Identity holds the parts of a request that its Fingerprint covers. The host is not
+// one of them, because a resend through another daemon may use another address.
 type Identity struct {
 	Mesh, Method, Path, Query string
-	// ContentLength is in bytes, -1 when it is not known beforehand.
+	// ContentLength is in bytes, -1 if not known in advance.
 	ContentLength int64
-	// Header is read only; fields that change from one sending to the next are
-	// passed over.
+	// Header is not modified. Fields that change between sends are ignored.
 	Header map[string][]string
 	// Body is the whole body if it is small, else nil.
 	Body []byte
 }
 
-// volatile are header fields that change from one sending to the next, on the
-// way, or with the connection.
-var volatile = map[string]bool{
+// volatileHeaders are header fields that change between sends, on the way, or with the
+// connection.
+var volatileHeaders = map[string]bool{
 	"Accept-Encoding": true, "Baggage": true, "Connection": true, "Date": true, "Expect": true, "Forwarded": true,
 	"Idempotency-Key": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Traceparent": true,
 	"Tracestate": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "User-Agent": true, "Via": true,
@@ -51,17 +49,17 @@
 }
 
 const (
-	// internalPrefix begins the names of headers between daemons.
-	internalPrefix = "Daisygate-"
-	// identifierSuffix ends the names of headers that number requests.
-	identifierSuffix = "-Id"
+	// internalHeaderPrefix is the prefix of headers between daemons.
+	internalHeaderPrefix = "Daisygate-"
+	// identifierHeaderSuffix is the suffix of headers with request identifiers.
+	identifierHeaderSuffix = "-Id"
 )
 
-func counts(name string) bool {
-	return !volatile[name] && !strings.HasPrefix(name, internalPrefix) && !strings.HasSuffix(name, identifierSuffix)
+func isStableHeader(name string) bool {
+	return !volatileHeaders[name] && !strings.HasPrefix(name, internalHeaderPrefix) && !strings.HasSuffix(name, identifierHeaderSuffix)
 }
 
-// Fingerprint hashes the identity.
+// Fingerprint returns a hash of the identity.
 func (id *Identity) Fingerprint() Fingerprint {
 	d := xxhash.New()
 	field := func(s string) {
@@ -73,7 +71,7 @@
 	}
 	var names []string
 	for name := range id.Header {
-		if counts(name) {
+		if isStableHeader(name) {
 			names = append(names, name)
 		}
 	}
--- a/internal/request/quarantine/ledger.go
+++ b/internal/request/quarantine/ledger.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// Suspect is one report of a daemon.
+// Suspect is one report of a daemon about a request.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Crashes is 1 for a request in progress at a crash, and one more for each
-	// crash at which it ran alone. 0 clears what is known up to Until.
+	// Crashes is 1 for a request in progress at a crash, plus 1 for each crash at which
+	// it ran alone. 0 clears all reports that expire no later than Until.
 	Crashes uint8
 	// Until is when the report expires.
 	Until time.Time
-	// Told is set in a report of a crash that another daemon saw.
+	// Told is set if the crash was observed by another daemon.
 	Told bool
-	// Source names the daemon that reports; "" is this one.
+	// Source is the name of the reporting daemon; "" is this one.
 	Source string
 }
 
-// Config is fixed for the life of a Core.
+// Config is the configuration of a Core. It does not change.
 type Config struct {
 	// Memory is how long a suspect is remembered after its refusal has ended.
 	Memory time.Duration
-	// FirstHold is how long a request is refused after its second crash; each
-	// further crash doubles it, up to MaxHold.
+	// FirstHold is how long a request is refused after its second crash. Each further
+	// crash doubles the time, up to MaxHold.
 	FirstHold, MaxHold time.Duration
-	// Max bounds the reports of one daemon.
+	// Max is the maximum number of reports of one daemon.
 	Max int
-	// SlowRestart says that a server that crashed takes longer to come back than
-	// it is looked for: one that still listens has not crashed, however many
-	// connections it lost at one time.
+	// SlowRestart states that the restart of a crashed server takes longer than the check
+	// whether it listens. A server that still listens has then not crashed, no matter how
+	// many connections it lost at a time.
 	SlowRestart bool
 }
 
-// DefaultConfig returns the documented settings.
+// DefaultConfig returns the documented defaults.
 func DefaultConfig() Config {
 	return Config{Memory: 30 * time.Minute, FirstHold: time.Minute, MaxHold: time.Hour, Max: 32}
 }
 
-func (c *Config) hold(crashes uint8) time.Duration {
+func (c *Config) holdTime(crashes uint8) time.Duration {
 	hold := time.Duration(0)
 	for i := uint8(2); i <= crashes && hold < c.MaxHold; i++ {
 		hold = min(max(2*hold, c.FirstHold), c.MaxHold)
@@ -53,39 +53,38 @@
 // Mode is how a request may run.
 type Mode uint8
 
-// The modes.
 const (
-	// Free requests run like any other.
+	// Free: the request runs like any other.
 	Free Mode = iota
-	// Alone requests run with no other beside them.
+	// Alone: the request runs while no other request runs on the server.
 	Alone
-	// Refused requests do not run until Verdict.Until.
+	// Refused: the request does not run until Verdict.Until.
 	Refused
 )
 
-// Verdict is the judgement of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Mode Mode
-	// Until is set when Refused.
+	// Until is set if Mode is Refused.
 	Until time.Time
 }
 
-// ledger joins the reports of all daemons.
+// ledger combines the reports of all daemons.
 type ledger struct {
 	cfg Config
-	// own are the reports of this daemon; at most cfg.Max.
+	// own holds the reports of this daemon, at most cfg.Max.
 	own map[Fingerprint]Suspect
-	// others are the reports of all other daemons.
+	// others holds the reports of all other daemons.
 	others map[Fingerprint][]Suspect
-	// seen is when others saw a crash, by their names.
-	seen map[string][]time.Time
+	// crashTimes holds the times of the crashes that other daemons observed, by source.
+	crashTimes map[string][]time.Time
 }
 
 func (l *ledger) empty() bool { return len(l.own) == 0 && len(l.others) == 0 }
 
-// known is what all reports together say; ok is false when they say nothing
-// that still holds. cleared is up to when reports are cleared.
-func (l *ledger) known(now time.Time, f Fingerprint) (s Suspect, cleared time.Time, ok bool) {
+// combined returns the combination of all reports on f; ok is false if none is active.
+// Reports that expire no later than cleared have been cleared.
+func (l *ledger) combined(now time.Time, f Fingerprint) (s Suspect, cleared time.Time, ok bool) {
 	reports := l.others[f]
 	if own, reported := l.own[f]; reported {
 		reports = append(slices.Clip(reports), own)
@@ -93,7 +92,7 @@
 	cleared = clearedUntil(reports)
 	s.Fingerprint = f
 	for _, r := range reports {
-		if !r.holds(now, cleared) {
+		if !r.isActive(now, cleared) {
 			continue
 		}
 		s.Crashes = max(s.Crashes, r.Crashes)
@@ -114,19 +113,19 @@
 	return cleared
 }
 
-// holds reports whether r accuses, and was neither cleared nor has expired.
-func (r *Suspect) holds(now, cleared time.Time) bool {
+// isActive reports whether r is about a crash and has neither been cleared nor expired.
+func (r *Suspect) isActive(now, cleared time.Time) bool {
 	return r.Crashes > 0 && r.Until.After(cleared) && r.Until.After(now)
 }
 
-// learn replaces the reports of others. Own reports that another cleared are
-// dropped, so that they do not hold again when the clearing is gone.
-func (l *ledger) learn(reports []Suspect) {
-	l.others, l.seen = map[Fingerprint][]Suspect{}, map[string][]time.Time{}
+// setRemoteReports replaces the reports of other daemons. Own reports that another daemon
+// cleared are dropped, so that they do not become active again when the clearance expires.
+func (l *ledger) setRemoteReports(reports []Suspect) {
+	l.others, l.crashTimes = map[Fingerprint][]Suspect{}, map[string][]time.Time{}
 	for _, r := range reports {
 		l.others[r.Fingerprint] = append(l.others[r.Fingerprint], r)
 		if r.Crashes > 0 && !r.Told {
-			l.seen[r.Source] = append(l.seen[r.Source], l.cfg.crashed(&r))
+			l.crashTimes[r.Source] = append(l.crashTimes[r.Source], l.cfg.crashTime(&r))
 		}
 	}
 	maps.DeleteFunc(l.own, func(f Fingerprint, s Suspect) bool {
@@ -144,7 +143,7 @@
 	}
 	n := 0
 	for f := range all {
-		if _, _, ok := l.known(now, f); ok {
+		if _, _, ok := l.combined(now, f); ok {
 			n++
 		}
 	}
@@ -152,7 +151,7 @@
 }
 
 func (l *ledger) judge(now time.Time, f Fingerprint) Verdict {
-	s, _, ok := l.known(now, f)
+	s, _, ok := l.combined(now, f)
 	if !ok {
 		return Verdict{}
 	}
@@ -162,50 +161,50 @@
 	return Verdict{Mode: Alone}
 }
 
-// blame reports a request in progress at a crash.
-func (l *ledger) blame(now time.Time, f Fingerprint, alone, told bool) {
-	s, cleared, _ := l.known(now, f)
+// addCrash reports a request in progress at a crash.
+func (l *ledger) addCrash(now time.Time, f Fingerprint, ranAlone, remote bool) {
+	s, cleared, _ := l.combined(now, f)
 	crashes := max(s.Crashes, 1)
-	if alone && crashes < math.MaxUint8 {
+	if ranAlone && crashes < math.MaxUint8 {
 		crashes++
 	}
-	until := now.Add(l.cfg.hold(crashes) + l.cfg.Memory)
+	until := now.Add(l.cfg.holdTime(crashes) + l.cfg.Memory)
 	if !until.After(cleared) {
 		until = cleared.Add(time.Millisecond)
 	}
-	l.report(now, Suspect{Fingerprint: f, Crashes: crashes, Until: until, Told: told})
+	l.store(now, Suspect{Fingerprint: f, Crashes: crashes, Until: until, Told: remote})
 }
 
-// told reports a crash that another daemon saw, unless it is known.
-func (l *ledger) told(now time.Time, f Fingerprint, alone bool) bool {
-	s, _, _ := l.known(now, f)
-	if s.Crashes > 1 || (s.Crashes == 1 && !alone) {
+// addRemoteCrash reports a crash that another daemon observed, unless it is known.
+func (l *ledger) addRemoteCrash(now time.Time, f Fingerprint, ranAlone bool) bool {
+	s, _, _ := l.combined(now, f)
+	if s.Crashes > 1 || (s.Crashes == 1 && !ranAlone) {
 		return false
 	}
-	l.blame(now, f, alone, true)
+	l.addCrash(now, f, ranAlone, true)
 	return true
 }
 
-// clear reports that a suspect ended well. It reports whether there was one.
+// clear reports that a suspect ended well, and returns whether f was a suspect.
 func (l *ledger) clear(now time.Time, f Fingerprint) bool {
-	s, _, ok := l.known(now, f)
+	s, _, ok := l.combined(now, f)
 	if ok {
-		l.report(now, Suspect{Fingerprint: f, Until: s.Until})
+		l.store(now, Suspect{Fingerprint: f, Until: s.Until})
 	}
 	return ok
 }
 
-func (l *ledger) report(now time.Time, s Suspect) {
+func (l *ledger) store(now time.Time, s Suspect) {
 	l.expire(now)
 	l.own[s.Fingerprint] = s
 	if len(l.own) > l.cfg.Max {
-		delete(l.own, l.least().Fingerprint)
+		delete(l.own, l.leastImportant().Fingerprint)
 	}
 }
 
-// least is the report that is missed least: the fewest crashes, then the
-// soonest end.
-func (l *ledger) least() Suspect {
+// leastImportant returns the report to evict first: the one with the fewest crashes, then
+// the one that expires first.
+func (l *ledger) leastImportant() Suspect {
 	return slices.MinFunc(slices.Collect(maps.Values(l.own)), func(a, b Suspect) int {
 		return cmp.Or(cmp.Compare(a.Crashes, b.Crashes), a.Until.Compare(b.Until), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
@@ -215,7 +214,7 @@
 	maps.DeleteFunc(l.own, func(_ Fingerprint, s Suspect) bool { return !s.Until.After(now) })
 }
 
-// reports returns the reports of this daemon, in order.
+// reports returns the reports of this daemon in order of fingerprint.
 func (l *ledger) reports() []Suspect {
 	return slices.SortedFunc(maps.Values(l.own), func(a, b Suspect) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 }
