--- a/internal/request/canary/account_test.go
+++ b/internal/request/canary/account_test.go
@@ -21,9 +21,9 @@
 	return &fleet.Rollout{Number: 1, Version: "v1", Target: "v2", Stage: stage, Servers: 3, Within: 10 * time.Second}
 }
 
-// TestBudget lets many accounts choose at random: before the handover, all of them together
-// never send more than the share and the slack to the target version, whatever requests
-// come to whom and however they end.
+// TestBudget lets many accounts choose for arbitrary requests. Before the handover, all of them
+// together must never send more than the share plus the slack to the target version, no matter
+// which daemons receive the requests and how they end.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 80).Draw(t, "daemons")
@@ -36,7 +36,7 @@
 			a      *canary.Account
 			answer canary.Answer
 		}
-		var under []sent
+		var inProgress []sent
 		for i := range rapid.IntRange(1, 3000).Draw(t, "requests") {
 			n := i * 7919 % (daemons*2 + 1) % daemons
 			a := accounts[n]
@@ -51,10 +51,10 @@
 			if arm.Version == "v2" {
 				spent++
 			}
-			under = append(under, sent{a, canary.Answer{Route: route, Version: arm.Version, Server: "s", Took: 5 * time.Millisecond}})
+			inProgress = append(inProgress, sent{a, canary.Answer{Route: route, Version: arm.Version, Server: "s", Took: 5 * time.Millisecond}})
 			if i%3 == 0 {
-				under[0].a.Answered(under[0].answer)
-				under = under[1:]
+				inProgress[0].a.Answered(inProgress[0].answer)
+				inProgress = inProgress[1:]
 				reached++
 			}
 			if float64(spent) > budget.Share*float64(reached)+float64(budget.Slack) {
@@ -64,8 +64,8 @@
 	})
 }
 
-// TestTouch sends nothing to a version under roll-out while the leader is not heard of, and
-// everything in the handover, which a daemon out of touch may not have missed either.
+// TestTouch checks that a daemon that has not heard of the leader recently sends nothing to the
+// target version before the handover stage, and everything in it.
 func TestTouch(t *testing.T) {
 	c := qt.New(t)
 	for stage, version := range map[fleet.Stage]string{fleet.Canary: "v1", fleet.Proof: "v1", fleet.Handover: "v2"} {
@@ -81,9 +81,9 @@
 	c.Check(first.Version, qt.Equals, "v1", qt.Commentf("the leader has named no servers yet"))
 }
 
-// answers counts n answers of both versions, of which those of the target fail or take long
-// at the given rate.
-func answers(a *canary.Account, from, n, failEach, slowEach int, server func(i int) string) {
+// addAnswers records n answers of each version. Every failEach-th answer of the target version
+// fails and every slowEach-th is slow; 0 means none.
+func addAnswers(a *canary.Account, from, n, failEach, slowEach int, server func(i int) string) {
 	for i := from; i < from+n; i++ {
 		base := canary.Answer{Route: "a", Version: "v1", Server: "o", Took: time.Duration(80+i%40) * time.Millisecond}
 		a.Answered(base)
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestTrip stops a daemon by itself that sees the target version fail or get slow, also when
-// it turns bad late, and not for a single server of several.
+// TestTrip checks that a daemon on its own stops sending to a target version that fails or is
+// slow, also if it turns bad late, but not because of one bad server of several.
 func TestTrip(t *testing.T) {
 	servers := func(i int) string { return []string{"x", "y", "z", "w"}[i%4] }
 	for name, row := range map[string]struct {
@@ -115,9 +115,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			a := canary.NewAccount(rolloutIn(fleet.Canary), budget, 0)
-			answers(a, 0, row.good, 0, 0, row.server)
+			addAnswers(a, 0, row.good, 0, 0, row.server)
 			c.Check(a.Tripped(), qt.Equals, "")
-			answers(a, 0, 100, row.failEach, row.slowEach, row.server)
+			addAnswers(a, 0, 100, row.failEach, row.slowEach, row.server)
 			c.Check(a.Tripped() != "", qt.Equals, row.trips, qt.Commentf("%s", a.Tripped()))
 		})
 	}
--- a/internal/request/canary/counts.go
+++ b/internal/request/canary/counts.go
@@ -1,10 +1,11 @@
-// Package canary decides, at one daemon, which software version of a service a request goes
-// to while a roll-out runs, and judges from the answers of both whether the new one is worse.
+// Package canary selects, at one daemon, the software version of a service that a request
+// goes to during a roll-out, and judges from the answers of both versions whether the new
+// one is worse.
 //
-// What a version under roll-out may get is a budget that each daemon keeps for itself: its
-// part of the requests that it has brought to a server. As the parts of all daemons add up
-// to the fleet's, the bound holds without a word between them, however late they hear of
-// each other.
+// The exposure of the new version is limited by a budget that each daemon accounts for on
+// its own: a share of the requests that it has brought to a server. The shares of all
+// daemons add up to that of the fleet, so the limit holds without coordination, no matter
+// how late the daemons learn of each other.
 //
 // The package does no I/O and reads no clock.
 package canary
@@ -14,35 +15,35 @@
 	"time"
 )
 
-// buckets is the length of a histogram: quarter octaves from a millisecond up to 70 minutes.
+// Histograms have bucketCount buckets of a quarter octave, from a millisecond to 70 minutes.
 const (
-	buckets   = 90
-	perOctave = 4
+	bucketCount      = 90
+	bucketsPerOctave = 4
 )
 
-// Counts are answers of one software version on one route, since the roll-out was ordered.
+// Counts are the answers of one software version on one route since the start of the roll-out.
 type Counts struct {
-	// Answers are those that came, whole and good or Failed.
+	// Answers counts all answers; Failed counts those that failed.
 	Answers, Failed uint64
-	// Busy is the time that the servers worked at them.
+	// Busy is the total time that the servers took.
 	Busy time.Duration
-	// Times counts the answers by the time that the server took, in quarter octaves of
-	// milliseconds; what is missing at its end is 0.
+	// Times is the histogram of the time that the server took, in quarter octaves of
+	// milliseconds. Missing buckets at its end are 0.
 	Times []uint32
 }
 
-// add takes in one answer.
+// add counts one answer.
 func (c *Counts) add(failed bool, took time.Duration) {
 	c.Answers++
 	if failed {
 		c.Failed++
 	}
 	c.Busy += took
-	at := bucketOf(took)
-	for len(c.Times) <= at {
+	bucket := bucketOf(took)
+	for len(c.Times) <= bucket {
 		c.Times = append(c.Times, 0)
 	}
-	c.Times[at]++
+	c.Times[bucket]++
 }
 
 // Merge adds the counts of another daemon.
@@ -50,10 +51,10 @@
 	c.Answers += o.Answers
 	c.Failed += o.Failed
 	c.Busy += o.Busy
-	for len(c.Times) < min(len(o.Times), buckets) {
+	for len(c.Times) < min(len(o.Times), bucketCount) {
 		c.Times = append(c.Times, 0)
 	}
-	for i := range min(len(o.Times), buckets) {
+	for i := range min(len(o.Times), bucketCount) {
 		c.Times[i] += o.Times[i]
 	}
 }
@@ -64,33 +65,33 @@
 	return copied
 }
 
-// bucketOf is the quarter octave that a time falls into.
+// bucketOf returns the histogram bucket of a duration.
 func bucketOf(took time.Duration) int {
 	ms := float64(took) / float64(time.Millisecond)
 	if ms < 1 {
 		return 0
 	}
-	return min(1+int(perOctave*math.Log2(ms)), buckets-1)
+	return min(1+int(bucketsPerOctave*math.Log2(ms)), bucketCount-1)
 }
 
-// Pair is what one route's requests met at both versions.
+// Pair holds the counts of one route at both versions.
 type Pair struct {
 	Base, Target Counts
 }
 
-// Server counts the answers of one server of the target version; Slow are those that took
-// longer than almost all of the other version's at the daemon that counts.
+// Server counts the answers of one server of the target version. Slow counts those slower
+// than almost all answers of the base version at the counting daemon.
 type Server struct {
 	Answers, Failed, Slow uint64
 }
 
-// Tally is what one daemon, or all of them together, met since a roll-out was ordered.
+// Tally holds the counts of one daemon, or of all daemons, since the start of a roll-out.
 type Tally struct {
-	// Routes by name, Servers of the target version by address.
+	// Routes is keyed by name, Servers (of the target version) by address.
 	Routes  map[string]*Pair
 	Servers map[string]Server
-	// Spent are the requests that were sent to the target version, Reached those that
-	// came to a server of either.
+	// Spent counts the requests sent to the target version; Reached counts those that
+	// reached a server of either version.
 	Spent, Reached uint64
 }
 
@@ -116,7 +117,7 @@
 	t.Reached += o.Reached
 }
 
-// Target returns the counts of the target version on all routes.
+// Target returns the counts of the target version over all routes.
 func (t *Tally) Target() Counts {
 	var sum Counts
 	for _, pair := range t.Routes {
@@ -125,7 +126,7 @@
 	return sum
 }
 
-// Busy is the time that servers of both versions worked.
+// Busy returns the total time that servers of both versions took.
 func (t *Tally) Busy() time.Duration {
 	var sum time.Duration
 	for _, pair := range t.Routes {
--- a/internal/request/canary/judge.go
+++ b/internal/request/canary/judge.go
@@ -10,66 +10,67 @@
 	"time"
 )
 
-// Judge compares the target version with the one before it, at the same time and under the
-// same load. The zero Judge is ready. It is not safe for concurrent use.
+// Judge compares the target version with the base version, at the same time and under the
+// same load. The zero Judge is ready to use. It is not safe for concurrent use.
 type Judge struct {
-	// Alarm is the sum of evidence that convinces; 0 is the constant of that name.
+	// Alarm is the evidence at which the target version is called bad; 0 means the
+	// constant Alarm.
 	Alarm  float64
-	routes map[string]*trial
-	// pooled adds up the evidence of all routes, each weighed by what is usual there: the
-	// two versions get another mix of them.
+	routes map[string]*routeTest
+	// pooled adds up the evidence of all routes, each relative to what is usual on that
+	// route, because the two versions receive different mixes of routes.
 	pooled sums
 }
 
-// Update takes in all that was counted so far, and tells why the target version is bad, or "".
+// Update evaluates the counts so far and returns why the target version is bad, or "".
 func (j *Judge) Update(tally *Tally) string {
 	if j.routes == nil {
-		j.routes = map[string]*trial{}
+		j.routes = map[string]*routeTest{}
 		j.Alarm = cmp.Or(j.Alarm, Alarm)
 	}
-	var found []string
+	var reasons []string
 	servers := maps.Clone(tally.Servers)
 	var evidence sums
 	for _, name := range slices.Sorted(maps.Keys(tally.Routes)) {
 		pair, t := tally.Routes[name], j.routes[name]
 		if t == nil {
-			t = &trial{}
+			t = &routeTest{}
 			j.routes[name] = t
 		}
 		evidence = evidence.plus(t.update(pair, j.Alarm, servers))
 		if why := t.verdict(j.Alarm, servers); why != "" {
-			found = append(found, fmt.Sprintf("route %s: %s (%d of %d answers failed there, before %.0f of %.0f)",
+			reasons = append(reasons, fmt.Sprintf("route %s: %s (%d of %d answers failed there, before %.0f of %.0f)",
 				name, why, pair.Target.Failed, pair.Target.Answers, t.failed, t.answers))
 		}
 	}
 	j.pooled.add(evidence, j.Alarm, servers)
 	if why := j.pooled.verdict(j.Alarm, servers); why != "" {
-		found = append(found, "all routes: "+why)
+		reasons = append(reasons, "all routes: "+why)
 	}
-	slices.Sort(found)
-	return strings.Join(found, "; ")
+	slices.Sort(reasons)
+	return strings.Join(reasons, "; ")
 }
 
-// Doubt is how near the evidence has come to calling the target version bad, from 0 to 1.
+// Doubt returns how close the evidence is to calling the target version bad, from 0 to 1.
 func (j *Judge) Doubt() float64 {
-	most := j.pooled.most()
+	highest := j.pooled.highest()
 	for _, t := range j.routes {
-		most = math.Max(most, t.most())
+		highest = math.Max(highest, t.highest())
 	}
-	return math.Min(most/cmp.Or(j.Alarm, Alarm), 1)
+	return math.Min(highest/cmp.Or(j.Alarm, Alarm), 1)
 }
 
-// slow reports whether an answer took longer than almost all of the other version's.
-func (j *Judge) slow(route string, took time.Duration) bool {
+// isSlow reports whether an answer took longer than almost all of the base version's.
+func (j *Judge) isSlow(route string, took time.Duration) bool {
 	t := j.routes[route]
 	if t == nil {
 		return false
 	}
-	edge, _, known := t.edge()
-	return known && bucketOf(took) > edge
+	slowBucket, _, known := t.slowThreshold()
+	return known && bucketOf(took) > slowBucket
 }
 
-// String lists the evidence, for logs.
+// String returns the evidence for logs.
 func (j *Judge) String() string {
 	parts := []string{"all " + j.pooled.String()}
 	for name, t := range j.routes {
--- a/internal/request/canary/trial.go
+++ b/internal/request/canary/trial.go
@@ -2,165 +2,167 @@
 
 import "math"
 
-// The sequential test: the cumulative sum of Page, "Continuous Inspection Schemes"
-// (Biometrika, 1954), over the log-likelihood ratio of two shares of bad answers. It takes a
-// version that turns bad late for what it is, however many good answers came before.
+// The sequential test is the cumulative sum of Page, "Continuous Inspection Schemes"
+// (Biometrika, 1954), over the log-likelihood ratio of two shares of bad answers. It detects
+// a version that turns bad late, no matter how many good answers came before.
 const (
-	// Alarm is the sum at which a version is found worse: one that is not gets there about
-	// once in e to the power of it.
+	// Alarm is the sum at which a version is called bad. A version that is not bad reaches
+	// it with a probability of about exp(-Alarm).
 	Alarm = 7.0
-	// A version is as good with up to worse times the share of failures of the one before
-	// it, and failedMore besides: servers differ, and a few of them are compared with many.
-	// It is bad with leap times as many and a further failedLeap.
-	worse      = 2.0
-	leap       = 1.5
-	failedMore = 0.003
-	failedLeap = 0.02
-	// The same for answers that are slower than all but slowPart of the other version's,
-	// and by slowSteps quarter octaves more.
-	slowPart  = 0.02
-	slowSteps = 2
-	slowMore  = 0.005
-	slowLeap  = 0.03
-	// disturbedSteps is how much later the slow answers of the other version begin, in
-	// quarter octaves, while it is taken for disturbed.
-	disturbedSteps = 3
-	// mostShare keeps shares below 1.
-	mostShare = 0.97
-	// memory is how many answers of the other version are looked back upon: what the
-	// service meets now counts, and not what it met at the start.
-	memory = 1000.0
-	// leastCalm is how many of them tell what is usual.
-	leastCalm = 600
-	// mostCalm is the part of Alarm that evidence against the best time may reach: it is
-	// forgotten soon after both are well again.
-	mostCalm = 0.6
-	// leastTimes is how many answers tell how long answers take.
-	leastTimes = 40
+	// A version counts as good up to toleratedRatio times the failure share of the base
+	// version plus toleratedExtraFailures, because servers differ and a few of them are
+	// compared with many. It counts as bad from badRatio times that plus badExtraFailures.
+	toleratedRatio         = 2.0
+	badRatio               = 1.5
+	toleratedExtraFailures = 0.003
+	badExtraFailures       = 0.02
+	// The same for slow answers: those slower than all but slowTailShare of the base
+	// version's answers, by slowMarginBuckets quarter octaves more.
+	slowTailShare      = 0.02
+	slowMarginBuckets  = 2
+	toleratedExtraSlow = 0.005
+	badExtraSlow       = 0.03
+	// disturbedBuckets is by how many quarter octaves the base version's slow threshold
+	// must rise above its best for the base version to count as disturbed.
+	disturbedBuckets = 3
+	// maxShare keeps shares below 1.
+	maxShare = 0.97
+	// decayAnswers is the number of base version answers over which the counts decay by a
+	// factor of e: current conditions count, not those at the start.
+	decayAnswers = 1000.0
+	// minBestAnswers is the number of answers needed to determine the base version's best.
+	minBestAnswers = 600
+	// maxVsBestShare is the fraction of Alarm that evidence against the best may reach, so
+	// that it is forgotten soon after both versions have recovered.
+	maxVsBestShare = 0.6
+	// minTimedAnswers is the number of answers needed to determine the slow threshold.
+	minTimedAnswers = 40
 )
 
-// trial is the test of one route.
-type trial struct {
+// routeTest is the sequential test of one route.
+type routeTest struct {
 	sums
-	seen Pair
-	// failed, answers and times are what the other version met lately; older answers count
-	// less.
+	previous Pair
+	// failed, answers and times are the counts of the base version, with older answers
+	// weighted less.
 	failed, answers float64
-	times           [buckets]float64
-	// calmShare is the least share of its answers that failed at any time, calmEdge the
-	// least edge of slow answers with the share above it; calm tells that they are known.
-	calm      bool
-	calmShare float64
-	calmEdge  int
-	calmSlow  float64
+	times           [bucketCount]float64
+	// bestFailureShare is the lowest failure share of the base version so far.
+	// bestSlowBucket is its lowest slow threshold, and bestSlowShare the share of answers
+	// above that. They are valid if bestKnown is set.
+	bestKnown        bool
+	bestFailureShare float64
+	bestSlowBucket   int
+	bestSlowShare    float64
 }
 
-// update takes in what was counted so far and returns the evidence in what is new.
-func (t *trial) update(now *Pair, alarm float64, servers map[string]Server) sums {
-	t.learn(&now.Base)
-	answers, failed := now.Target.Answers-t.seen.Target.Answers, now.Target.Failed-t.seen.Target.Failed
+// update evaluates the counts so far and returns the evidence in what is new.
+func (t *routeTest) update(now *Pair, alarm float64, servers map[string]Server) sums {
+	t.addBase(&now.Base)
+	answers, failed := now.Target.Answers-t.previous.Target.Answers, now.Target.Failed-t.previous.Target.Failed
 	var e sums
-	usual := t.share(t.failed)
-	e.failing = evidence(failed, answers, usual, failedMore, failedLeap)
-	e.failingCalm = e.failing
-	if edge, slow, known := t.edge(); known {
-		t.settle(usual, edge, slow)
-		e.slowing = evidence(t.over(now, edge), answers, slow, slowMore, slowLeap)
-		e.slowingCalm = e.slowing
+	baseFailureShare := t.smoothedShare(t.failed)
+	e.failing = evidence(failed, answers, baseFailureShare, toleratedExtraFailures, badExtraFailures)
+	e.failingVsBest = e.failing
+	if slowBucket, slowShare, known := t.slowThreshold(); known {
+		t.updateBest(baseFailureShare, slowBucket, slowShare)
+		e.slowing = evidence(t.newAnswersAbove(now, slowBucket), answers, slowShare, toleratedExtraSlow, badExtraSlow)
+		e.slowingVsBest = e.slowing
 	}
-	if good, _ := hypotheses(t.calmShare, failedMore, failedLeap); t.calm && usual > good {
-		e.failingCalm = evidence(failed, answers, t.calmShare, failedMore, failedLeap)
+	if good, _ := hypotheses(t.bestFailureShare, toleratedExtraFailures, badExtraFailures); t.bestKnown && baseFailureShare > good {
+		e.failingVsBest = evidence(failed, answers, t.bestFailureShare, toleratedExtraFailures, badExtraFailures)
 	}
-	if edge, _, known := t.edge(); t.calm && known && edge >= t.calmEdge+disturbedSteps {
-		e.slowingCalm = evidence(t.over(now, t.calmEdge), answers, t.calmSlow, slowMore, slowLeap)
+	if slowBucket, _, known := t.slowThreshold(); t.bestKnown && known && slowBucket >= t.bestSlowBucket+disturbedBuckets {
+		e.slowingVsBest = evidence(t.newAnswersAbove(now, t.bestSlowBucket), answers, t.bestSlowShare, toleratedExtraSlow, badExtraSlow)
 	}
 	t.add(e, alarm, servers)
-	t.seen = Pair{Base: now.Base.clone(), Target: now.Target.clone()}
+	t.previous = Pair{Base: now.Base.clone(), Target: now.Target.clone()}
 	return e
 }
 
-// over counts the new answers of the target version above an edge.
-func (t *trial) over(now *Pair, edge int) uint64 {
-	return above(now.Target.Times, edge) - above(t.seen.Target.Times, edge)
+// newAnswersAbove counts the new answers of the target version in buckets above bucket.
+func (t *routeTest) newAnswersAbove(now *Pair, bucket int) uint64 {
+	return answersAbove(now.Target.Times, bucket) - answersAbove(t.previous.Target.Times, bucket)
 }
 
-// settle keeps what the other version met at its best.
-func (t *trial) settle(usual float64, edge int, slow float64) {
-	if t.answers < leastCalm && t.calm {
+// updateBest updates the best values of the base version.
+func (t *routeTest) updateBest(failureShare float64, slowBucket int, slowShare float64) {
+	if t.answers < minBestAnswers && t.bestKnown {
 		return
 	}
-	if !t.calm || usual < t.calmShare {
-		t.calmShare = usual
+	if !t.bestKnown || failureShare < t.bestFailureShare {
+		t.bestFailureShare = failureShare
 	}
-	if !t.calm || edge < t.calmEdge {
-		t.calmEdge, t.calmSlow = edge, slow
+	if !t.bestKnown || slowBucket < t.bestSlowBucket {
+		t.bestSlowBucket, t.bestSlowShare = slowBucket, slowShare
 	}
-	t.calm = true
+	t.bestKnown = true
 }
 
-// learn takes in what the other version met since the last time.
-func (t *trial) learn(base *Counts) {
-	fresh := float64(base.Answers - t.seen.Base.Answers)
+// addBase adds the new answers of the base version.
+func (t *routeTest) addBase(base *Counts) {
+	fresh := float64(base.Answers - t.previous.Base.Answers)
 	if fresh == 0 {
 		return
 	}
-	keep := math.Exp(-fresh / memory)
+	keep := math.Exp(-fresh / decayAnswers)
 	t.answers = keep*t.answers + fresh
-	t.failed = keep*t.failed + float64(base.Failed-t.seen.Base.Failed)
+	t.failed = keep*t.failed + float64(base.Failed-t.previous.Base.Failed)
 	for i := range t.times {
-		t.times[i] = keep*t.times[i] + float64(at(base.Times, i)-at(t.seen.Base.Times, i))
+		t.times[i] = keep*t.times[i] + float64(countAt(base.Times, i)-countAt(t.previous.Base.Times, i))
 	}
 }
 
-// share is a share of the other version's answers; of few it is taken for higher than it is.
-func (t *trial) share(of float64) float64 { return (of + 0.5) / (t.answers + 10) }
+// smoothedShare returns a share of the base version's answers. With few answers it is an overestimate.
+func (t *routeTest) smoothedShare(of float64) float64 { return (of + 0.5) / (t.answers + 10) }
 
-// edge returns the bucket above which answers are slow, and the other version's share there.
-func (t *trial) edge() (edge int, share float64, known bool) {
-	if t.answers < leastTimes {
+// slowThreshold returns the bucket above which answers are slow, and the base version's
+// share of answers above it.
+func (t *routeTest) slowThreshold() (threshold int, share float64, known bool) {
+	if t.answers < minTimedAnswers {
 		return 0, 0, false
 	}
 	over := 0.0
-	at := buckets - 1
-	for ; at > 0 && over+t.times[at] <= slowPart*t.answers; at-- {
-		over += t.times[at]
+	bucket := bucketCount - 1
+	for ; bucket > 0 && over+t.times[bucket] <= slowTailShare*t.answers; bucket-- {
+		over += t.times[bucket]
 	}
-	at += slowSteps
+	bucket += slowMarginBuckets
 	over = 0
-	for i := at + 1; i < buckets; i++ {
+	for i := bucket + 1; i < bucketCount; i++ {
 		over += t.times[i]
 	}
-	return at, over / t.answers, true
+	return bucket, over / t.answers, true
 }
 
-// hypotheses are the shares of bad answers of a version that is as good as the other one,
-// and of one that is worse.
-func hypotheses(usual, more, step float64) (good, bad float64) {
-	good = math.Min(worse*usual+more, mostShare/leap)
-	return good, math.Min(leap*good+step, mostShare)
+// hypotheses returns the shares of bad answers of a version that is as good as the base
+// version and of one that is worse.
+func hypotheses(baseShare, toleratedExtra, badExtra float64) (good, bad float64) {
+	good = math.Min(toleratedRatio*baseShare+toleratedExtra, maxShare/badRatio)
+	return good, math.Min(badRatio*good+badExtra, maxShare)
 }
 
-// evidence is how much some answers, of which so many were bad, speak for a worse version.
-func evidence(bad, answers uint64, usual, more, step float64) float64 {
-	good, worse := hypotheses(usual, more, step)
-	return ratio(bad, answers-bad, good, worse)
+// evidence returns the evidence of some answers, bad of which were bad, for a worse version.
+func evidence(bad, answers uint64, baseShare, toleratedExtra, badExtra float64) float64 {
+	good, worse := hypotheses(baseShare, toleratedExtra, badExtra)
+	return logLikelihoodRatio(bad, answers-bad, good, worse)
 }
 
-// ratio is the log-likelihood ratio of some bad and other answers.
-func ratio(bad, other uint64, good, worse float64) float64 {
+// logLikelihoodRatio returns the log-likelihood ratio of some bad and other answers.
+func logLikelihoodRatio(bad, other uint64, good, worse float64) float64 {
 	return float64(bad)*math.Log(worse/good) + float64(other)*math.Log((1-worse)/(1-good))
 }
 
-// above counts the answers in buckets over an edge.
-func above(times []uint32, edge int) uint64 {
+// answersAbove counts the answers in buckets above bucket.
+func answersAbove(times []uint32, bucket int) uint64 {
 	var sum uint64
-	for i := edge + 1; i < len(times); i++ {
+	for i := bucket + 1; i < len(times); i++ {
 		sum += uint64(times[i])
 	}
 	return sum
 }
 
-func at(times []uint32, i int) uint32 {
+func countAt(times []uint32, i int) uint32 {
 	if i < len(times) {
 		return times[i]
 	}
