--- a/internal/request/admit/admit.go
+++ b/internal/request/admit/admit.go
@@ -115,7 +115,7 @@
 	return min(limit, slowStartSlots(c.cfg, now))
 }
 
-// slowStartSlots grows linearly from slowStartShare of the slots to all of them.
+// slowStartSlots grows from slowStartShare of the slots to all of them during slow start.
 func slowStartSlots(cfg Config, now time.Time) int {
 	age := now.Sub(cfg.Since)
 	if cfg.SlowStart <= 0 || age >= cfg.SlowStart {
--- a/internal/request/admit/order.go
+++ b/internal/request/admit/order.go
@@ -15,8 +15,8 @@
 }
 
 func runsBefore(now time.Time, a, b *Ticket) bool {
-	if ca, cb := a.effectivePriority(now), b.effectivePriority(now); ca != cb {
-		return ca < cb
+	if pa, pb := a.effectivePriority(now), b.effectivePriority(now); pa != pb {
+		return pa < pb
 	}
 	return a.Deadline.Before(b.Deadline)
 }
