--- a/internal/request/balance/expected_test.go
+++ b/internal/request/balance/expected_test.go
@@ -106,16 +106,16 @@
 	near, far := candidateAt("near", "d"), candidateAt("far", "e")
 	table := tableAt("caller", near, far)
 	const target = 200 * time.Millisecond
-	told := func(c *directory.Candidate, failing float64) {
+	report := func(c *directory.Candidate, failing float64) {
 		table.Told(now, c, Load{Limit: 4, Service: 20 * time.Millisecond, Failing: failing})
 	}
-	told(far, 0)
-	told(near, 0.5)
+	report(far, 0)
+	report(near, 0.5)
 	c.Check(countPicks(table, now, target)["far"], qt.Equals, 100)
 	c.Check(countPicks(table, now.Add(time.Minute), target)["near"] > 90, qt.IsTrue)
 	for range 200 {
-		told(far, 0.5)
-		told(near, 0.5)
+		report(far, 0.5)
+		report(near, 0.5)
 	}
 	c.Check(countPicks(table, now, target)["near"], qt.Equals, 100)
 }
