--- a/internal/request/quarantine/ledger.go
+++ b/internal/request/quarantine/ledger.go
@@ -175,7 +175,8 @@
 	l.store(now, Suspect{Fingerprint: f, Crashes: crashes, Until: until, Told: remote})
 }
 
-// addRemoteCrash reports a crash that another daemon observed, unless it is known.
+// addRemoteCrash reports a crash that another daemon observed, unless it is known, and
+// returns whether it was new.
 func (l *ledger) addRemoteCrash(now time.Time, f Fingerprint, ranAlone bool) bool {
 	s, _, _ := l.combined(now, f)
 	if s.Crashes > 1 || (s.Crashes == 1 && !ranAlone) {
