--- a/internal/process/source/apply_bench_test.go
+++ b/internal/process/source/apply_bench_test.go
@@ -11,15 +11,15 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// BenchmarkApply applies entries of the log with 400 routes each, as a source does
-// that starts again: 1.0 ms an entry, before and after snapshots every 16 entries,
-// which bound how many there are.
+// BenchmarkApply measures applying log entries with 400 routes each, as a source does
+// when it restarts: 1.0 ms per entry, both before and after snapshots every 16 entries
+// were introduced. Snapshots bound the number of entries to apply.
 func BenchmarkApply(b *testing.B) {
 	mf := testManifest("m", 1, "s")
 	for i := range 400 {
 		mf.Routes = append(mf.Routes, manifest.Route{Name: fmt.Sprint("r", i), Path: fmt.Sprintf("/r%d/", i), Hosts: []string{"h.example"}, Service: "s", Timeout: time.Second})
 	}
-	m := newMachine(logr.Discard(), func(*fleet.State) {})
+	m := newStateMachine(logr.Discard(), func(*fleet.State) {})
 	b.ReportAllocs()
 	for i := range b.N {
 		mf.Version = uint64(i + 1)
--- a/internal/process/source/cluster_test.go
+++ b/internal/process/source/cluster_test.go
@@ -15,34 +15,35 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// testCluster is a group of sources in one deterministic network. It keeps the
-// oracle: the plain list of what was accepted.
+// testCluster is a group of sources connected by a deterministic simulated network. It
+// also holds the test oracle: the list of accepted manifests.
 type testCluster struct {
-	ids     []string
-	members map[string]*testMember
-	net     []replica.Message
-	cut     map[[2]string]bool
-	// accepted[i] is what fleet version i+1 holds, once any source applied it.
+	ids          []string
+	members      map[string]*testMember
+	net          []replica.Message
+	blockedLinks map[[2]string]bool
+	// accepted holds the accepted manifests by fleet version, recorded when the first
+	// source applies them.
 	accepted map[uint64]Accepted
-	// newest is the highest fleet version that any member has applied, and hashes are those of
-	// the states by version.
+	// newest is the highest fleet version applied by any member. hashes are the state hashes
+	// by fleet version.
 	newest uint64
 	hashes map[uint64]uint64
-	// fault is the first broken promise.
-	fault string
-	seed  uint64
-	// compactAfter and historyLimit are passed to each node.
+	// violation describes the first violated invariant; empty if there is none.
+	violation string
+	seed      uint64
+	// compactAfter and historyLimit are the settings of each node.
 	compactAfter uint64
 	historyLimit int
-	// replaceTicks lets newcomers take the place of silent voters; founders are
-	// the members configured then.
+	// replaceTicks is the silence after which a new member replaces a voter. founders
+	// are the members that may form the group.
 	replaceTicks int
 	founders     []string
-	// voters is the number of voters that the group grows to.
+	// voters is the target number of voters.
 	voters int
-	// seeds are the members that a newcomer was told of.
+	// seeds are the configured seed members of each new member.
 	seeds map[string][]string
-	// fixedSeeds keeps the settings of members that are restarted.
+	// fixedSeeds keeps the seeds of a member unchanged when it restarts.
 	fixedSeeds bool
 }
 
@@ -50,18 +51,19 @@
 	id      string
 	dir     *memDir
 	node    *quorum.Node[outcome]
-	machine *machine
-	// checked is the fleet version up to which the oracle was asked.
-	checked uint64
-	// emptied is set once the disk was lost: the settings of a member that starts
-	// again do not let it found the group.
-	emptied bool
-	// lost is set from the loss of the disk until the member votes again.
-	lost bool
+	machine *stateMachine
+	// checkedVersion is the fleet version up to which the member was checked against
+	// the oracle.
+	checkedVersion uint64
+	// diskReplaced is set once the disk was lost. A member that restarts with an empty
+	// disk must not be allowed to form a group.
+	diskReplaced bool
+	// repairing is set from the loss of the disk until the member votes again.
+	repairing bool
 }
 
 func newTestCluster(n int, compactAfter uint64) *testCluster {
-	c := &testCluster{compactAfter: compactAfter, members: map[string]*testMember{}, cut: map[[2]string]bool{}, accepted: map[uint64]Accepted{}, hashes: map[uint64]uint64{}}
+	c := &testCluster{compactAfter: compactAfter, members: map[string]*testMember{}, blockedLinks: map[[2]string]bool{}, accepted: map[uint64]Accepted{}, hashes: map[uint64]uint64{}}
 	for i := range n {
 		id := string(rune('a' + i))
 		c.ids = append(c.ids, id)
@@ -78,7 +80,7 @@
 func (c *testCluster) start(id string) error {
 	m := c.members[id]
 	if c.seeds != nil && !c.fixedSeeds {
-		// The settings of a restarted member name those that are there.
+		// A restarted member is configured with the current members.
 		c.seeds[id] = slices.Clone(c.ids)
 	}
 	disk, restored, err := storage.Open(m.dir)
@@ -86,14 +88,14 @@
 		return err
 	}
 	c.seed++
-	m.checked = 0
-	m.machine = newMachine(logr.Discard(), func(*fleet.State) {})
+	m.checkedVersion = 0
+	m.machine = newStateMachine(logr.Discard(), func(*fleet.State) {})
 	if c.historyLimit > 0 {
-		m.machine.limit = c.historyLimit
+		m.machine.maxHistory = c.historyLimit
 	}
 	m.node, err = quorum.NewNode(replica.Config{
-		ID: id, Members: c.configured(id), ElectionTicks: 10, HeartbeatTicks: 2, Seed: c.seed,
-		ReplaceTicks: c.replaceTicks, Voters: c.voters, Joins: len(c.founders) > 0 && (m.emptied || !slices.Contains(c.founders, id)),
+		ID: id, Members: c.configuredMembers(id), ElectionTicks: 10, HeartbeatTicks: 2, Seed: c.seed,
+		ReplaceTicks: c.replaceTicks, Voters: c.voters, Joins: len(c.founders) > 0 && (m.diskReplaced || !slices.Contains(c.founders, id)),
 	}, restored, disk, m.machine, func(_ string, list []replica.Message) { c.net = append(c.net, list...) }, logr.Discard())
 	if err == nil && c.compactAfter > 0 {
 		m.node.SetCompactAfter(c.compactAfter)
@@ -101,7 +103,7 @@
 	return err
 }
 
-func (c *testCluster) configured(id string) []string {
+func (c *testCluster) configuredMembers(id string) []string {
 	if seeds := c.seeds[id]; seeds != nil {
 		return seeds
 	}
@@ -111,9 +113,9 @@
 	return c.ids
 }
 
-// open lets newcomers in from here on; the members that are there are the
-// founders.
-func (c *testCluster) open(replaceTicks int) {
+// allowJoins restarts the cluster with joining enabled. The current members become
+// the founders.
+func (c *testCluster) allowJoins(replaceTicks int) {
 	c.founders, c.replaceTicks = slices.Clone(c.ids), replaceTicks
 	for _, id := range c.ids {
 		c.crash(id, 0, false)
@@ -124,20 +126,20 @@
 	}
 }
 
-// join starts a newcomer.
-func (c *testCluster) join(id string) {
+// addMember starts a new member.
+func (c *testCluster) addMember(id string) {
 	if c.seeds == nil {
 		c.seeds = map[string][]string{}
 	}
 	c.seeds[id] = slices.Clone(c.ids)
 	c.ids = append(c.ids, id)
-	c.members[id] = &testMember{id: id, dir: newMemDir(), lost: true}
+	c.members[id] = &testMember{id: id, dir: newMemDir(), repairing: true}
 	if err := c.start(id); err != nil {
 		panic(err)
 	}
 }
 
-// remove takes a member away for good.
+// remove stops a member permanently.
 func (c *testCluster) remove(id string) {
 	c.members[id].node = nil
 	c.ids = slices.DeleteFunc(c.ids, func(other string) bool { return other == id })
@@ -153,11 +155,11 @@
 	m := c.members[id]
 	m.node = nil
 	m.dir = newMemDir()
-	m.lost, m.emptied = true, true
+	m.repairing, m.diskReplaced = true, true
 }
 
-// up calls f for each running member in order.
-func (c *testCluster) up(f func(*testMember)) {
+// forEachRunning calls f for each running member in order.
+func (c *testCluster) forEachRunning(f func(*testMember)) {
 	for _, id := range c.ids {
 		if m := c.members[id]; m.node != nil {
 			f(m)
@@ -165,100 +167,103 @@
 	}
 }
 
-func (c *testCluster) isolate(id string, cut bool) {
+func (c *testCluster) isolate(id string, blocked bool) {
 	for _, other := range c.ids {
-		c.setLink(id, other, cut)
+		c.setLink(id, other, blocked)
 	}
 }
 
-func (c *testCluster) setLink(a, b string, cut bool) {
-	c.cut[[2]string{a, b}] = cut
-	c.cut[[2]string{b, a}] = cut
+func (c *testCluster) setLink(a, b string, blocked bool) {
+	c.blockedLinks[[2]string{a, b}] = blocked
+	c.blockedLinks[[2]string{b, a}] = blocked
 }
 
-// settle lets a member finish its work and checks the oracle.
-func (c *testCluster) settle(m *testMember) {
+// finishWork completes the pending work of a member and checks its state against the
+// oracle.
+func (c *testCluster) finishWork(m *testMember) {
 	m.node.Settle()
 	status := m.node.Status()
 	if status.Repair.State == replica.RepairDone || status.Repair.State == replica.RepairNone {
-		m.lost = false
+		m.repairing = false
 	}
-	if m.machine.state.Version == m.checked {
+	if m.machine.state.Version == m.checkedVersion {
 		return
 	}
-	for _, line := range m.machine.all() {
-		if _, known := c.accepted[line.Fleet]; !known && line.Fleet > c.newest {
-			c.accepted[line.Fleet] = line
+	for _, entry := range m.machine.allHistory() {
+		if _, known := c.accepted[entry.Fleet]; !known && entry.Fleet > c.newest {
+			c.accepted[entry.Fleet] = entry
 		}
-		if line.Fleet > m.checked && c.accepted[line.Fleet] != line {
-			c.blame("%s has %+v, accepted was %+v", m.id, line, c.accepted[line.Fleet])
+		if entry.Fleet > m.checkedVersion && c.accepted[entry.Fleet] != entry {
+			c.reportViolation("%s has applied %+v, accepted was %+v", m.id, entry, c.accepted[entry.Fleet])
 		}
 	}
 	state := m.machine.state
 	c.newest = max(c.newest, state.Version)
 	if hash, known := c.hashes[state.Version]; known && hash != state.Hash() {
-		c.blame("%s has another state %d than the others", m.id, state.Version)
+		c.reportViolation("%s has a different state in version %d than other members", m.id, state.Version)
 	}
 	c.hashes[state.Version] = state.Hash()
 	if !state.HasRollouts() && state.Version == c.newest && uint64(len(c.accepted)) != c.newest {
-		c.blame("%s has version %d after %d accepted manifests", m.id, state.Version, len(c.accepted))
+		c.reportViolation("%s has version %d after %d accepted manifests", m.id, state.Version, len(c.accepted))
 	}
-	m.checked = state.Version
+	m.checkedVersion = state.Version
 }
 
-func (c *testCluster) blame(format string, args ...any) {
-	if c.fault == "" {
-		c.fault = fmt.Sprintf(format, args...)
+func (c *testCluster) reportViolation(format string, args ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// deliver takes message i off the network; copies stay if again is set.
-func (c *testCluster) deliver(i int, again bool) {
+// deliver delivers message i. It stays in the network if duplicate is set.
+func (c *testCluster) deliver(i int, duplicate bool) {
 	msg := c.net[i]
-	if !again {
+	if !duplicate {
 		c.net = slices.Delete(c.net, i, i+1)
 	}
 	m := c.members[msg.To]
-	if m.node == nil || c.cut[[2]string{msg.From, msg.To}] {
+	if m.node == nil || c.blockedLinks[[2]string{msg.From, msg.To}] {
 		return
 	}
 	m.node.Step([]replica.Message{msg})
-	c.settle(m)
+	c.finishWork(m)
 }
 
-// deliverAll delivers until the network is empty, which it must become.
+// deliverAll delivers messages until the network is empty. It reports a violation if that
+// takes more than maxDeliveries messages.
 func (c *testCluster) deliverAll() {
-	for range stormLimit {
+	for range maxDeliveries {
 		if len(c.net) == 0 {
 			return
 		}
 		c.deliver(0, false)
 	}
-	c.blame("the network is not empty after %d messages", stormLimit)
+	c.reportViolation("the network is not empty after %d messages", maxDeliveries)
 }
 
-// stormLimit is far more than one tick's messages.
-const stormLimit = 10_000
+// maxDeliveries is well above the number of messages sent in one tick.
+const maxDeliveries = 10_000
 
-// tick lets time pass at one member only.
+// tick advances the time of one member only.
 func (c *testCluster) tick(m *testMember, ticks int) {
 	for range ticks {
 		m.node.Tick()
-		c.settle(m)
+		c.finishWork(m)
 	}
 }
 
-// run ticks every member so often and delivers all messages after each tick.
+// run ticks every running member the given number of times, and delivers all messages
+// after each tick.
 func (c *testCluster) run(ticks int) {
 	for range ticks {
-		c.up(func(m *testMember) { c.tick(m, 1) })
+		c.forEachRunning(func(m *testMember) { c.tick(m, 1) })
 		c.deliverAll()
 	}
 }
 
 func (c *testCluster) leader() *testMember {
 	var leader *testMember
-	c.up(func(m *testMember) {
+	c.forEachRunning(func(m *testMember) {
 		if s := m.node.Status(); s.Role == "leader" && (leader == nil || s.Term > leader.node.Status().Term) {
 			leader = m
 		}
@@ -266,33 +271,33 @@
 	return leader
 }
 
-// submit proposes at one member what a manifest changes there; the answer lands in the
-// returned pointer.
+// submit proposes a manifest through one member. The returned answer is filled in when the
+// proposal completes.
 func (c *testCluster) submit(m *testMember, mf *manifest.Manifest) *Answer {
 	answer := &Answer{}
-	c.order(m, &Order{Manifest: *mf}, func(a Answer) {
+	c.proposeOrder(m, &Order{Manifest: *mf}, func(a Answer) {
 		if *answer = a; a.Fleet > 0 {
 			c.checkAnswer(mf, a)
 		}
 	})
-	c.settle(m)
+	c.finishWork(m)
 	return answer
 }
 
-// order proposes as Source.Submit does: what the order changes of the newest manifest at
-// this member, and the whole where that is not the newest.
-func (c *testCluster) order(m *testMember, o *Order, told func(Answer)) {
-	c.propose(m, m.machine.basis.Load(), o, func(w outcome, err error) {
-		if a := answerOf(w, err); a.Code != result.RevisionStale || m.node == nil {
-			told(a)
+// proposeOrder proposes an order as Source.Submit does: as changes to the newest manifest
+// known to the member, and as a complete manifest if that base is outdated.
+func (c *testCluster) proposeOrder(m *testMember, o *Order, done func(Answer)) {
+	c.propose(m, m.machine.diffBase.Load(), o, func(w outcome, err error) {
+		if a := toAnswer(w, err); a.Code != result.RevisionStale || m.node == nil {
+			done(a)
 			return
 		}
-		c.propose(m, noBasis, o, func(w outcome, err error) { told(answerOf(w, err)) })
+		c.propose(m, emptyDiffBase, o, func(w outcome, err error) { done(toAnswer(w, err)) })
 	})
 }
 
-func (c *testCluster) propose(m *testMember, b *basis, o *Order, told func(outcome, error)) {
-	command, err := b.revise(o, time.Unix(0, 0).UTC())
+func (c *testCluster) propose(m *testMember, b *diffBase, o *Order, done func(outcome, error)) {
+	command, err := b.diffCommand(o, time.Unix(0, 0).UTC())
 	if err != nil {
 		panic(err)
 	}
@@ -300,15 +305,15 @@
 	if err != nil {
 		panic(err)
 	}
-	m.node.Propose(raw, told)
+	m.node.Propose(raw, done)
 }
 
-// checkAnswer holds an answer against the list of what was accepted.
+// checkAnswer checks an answer against the list of accepted manifests.
 func (c *testCluster) checkAnswer(mf *manifest.Manifest, a Answer) {
 	content, _ := fleet.ContentHash(mf)
 	want := Accepted{Fleet: a.Fleet, Mesh: mf.Mesh, Version: mf.Version, Content: content, Time: time.Unix(0, 0).UTC()}
 	if a.Fleet <= c.newest && c.accepted[a.Fleet] != want {
-		c.blame("answered %+v, accepted was %+v", want, c.accepted[a.Fleet])
+		c.reportViolation("answered %+v, accepted was %+v", want, c.accepted[a.Fleet])
 	}
 }
 
@@ -320,4 +325,4 @@
 	}
 }
 
-func ok(a *Answer) bool { return a.Code == result.Accepted || a.Code == result.AlreadyAccepted }
+func isAccepted(a *Answer) bool { return a.Code == result.Accepted || a.Code == result.AlreadyAccepted }
--- a/internal/process/source/command.go
+++ b/internal/process/source/command.go
@@ -13,53 +13,53 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The formats of a log entry.
+// Formats of a log entry.
 const (
-	// formatManifest entries hold a whole manifest, as older releases wrote them.
+	// formatManifest entries contain a complete manifest; written by older releases.
 	formatManifest = iota
-	// formatRevision entries hold what an order changes.
+	// formatRevision entries contain only the changes made by an order.
 	formatRevision
-	// formatRollout entries are about a roll-out of a service's software.
+	// formatRollout entries contain an operation on the roll-out of a service.
 	formatRollout
 	formatNewest = formatRollout
 )
 
-// Command is what one log entry asks for.
+// Command is the payload of a log entry.
 type Command struct {
-	// Manifest and Text are set in formatManifest only.
+	// Manifest and Text are set only in formatManifest.
 	Manifest manifest.Manifest `cbor:"1,keyasint"`
-	// Submitted is when the source that was asked took the manifest in.
+	// Submitted is when the source contacted by the operator received the manifest.
 	Submitted time.Time `cbor:"2,keyasint"`
-	// Base is the operators' version that the manifest builds on, nil for any;
-	// 0 is before the first.
+	// Base is the version that the manifest is based on; nil for any version, 0 if
+	// no version has been accepted yet.
 	Base *uint64 `cbor:"3,keyasint,omitempty"`
-	// Text is the manifest as the operator wrote it, packed; it may be empty.
+	// Text is the compressed source text of the manifest; it may be empty.
 	Text []byte `cbor:"4,keyasint,omitempty"`
-	// Read, if set, names the mesh whose newest manifest is asked for; the rest
-	// of the command is empty. As an entry of the log it is answered after all
-	// that was accepted before it.
+	// Read, if set, is the mesh whose newest manifest is requested; the other fields
+	// are empty. Because reads are log entries, they are answered after all entries
+	// accepted before them.
 	Read string `cbor:"5,keyasint,omitempty"`
-	// Format says how the order is held.
+	// Format is the format of the entry.
 	Format uint64 `cbor:"6,keyasint,omitempty"`
-	// Change is an encoded change, packed; set in formatRevision.
+	// Change is an encoded and compressed change; set only in formatRevision.
 	Change []byte `cbor:"7,keyasint,omitempty"`
-	// Rollout is set in formatRollout.
+	// Rollout is set only in formatRollout.
 	Rollout *rolloutEntry `cbor:"8,keyasint,omitempty"`
 }
 
-// change is what an order changes of the newest manifest and of its text.
+// change is the difference between the newest manifest, with its text, and an order.
 type change struct {
 	Revision fleet.Revision `cbor:"1,keyasint"`
 	Text     document.Patch `cbor:"2,keyasint"`
 }
 
-// order is a decoded command that hands a manifest in.
-type order struct {
+// decodedOrder is an order decoded from a command of any format.
+type decodedOrder struct {
 	revision  *fleet.Revision
 	submitted time.Time
 	base      *uint64
-	// textAfter is the text of the manifest, given that of the newest one.
-	textAfter func(old *text) (*text, error)
+	// updateText returns the new text of the manifest, given the newest text.
+	updateText func(old *manifestText) (*manifestText, error)
 }
 
 func decodeCommand(raw []byte) (*Command, error) {
@@ -72,9 +72,10 @@
 	return raw, errors.Wrap(err, "command")
 }
 
-// order returns what the command hands in. An error is a *result.Error.
-func (c *Command) order() (*order, error) {
-	o := &order{submitted: c.Submitted.UTC(), base: c.Base}
+// decodeOrder returns the order contained in the command. Errors are of type
+// *result.Error.
+func (c *Command) decodeOrder() (*decodedOrder, error) {
+	o := &decodedOrder{submitted: c.Submitted.UTC(), base: c.Base}
 	switch c.Format {
 	case formatManifest:
 		r, err := fleet.Whole(&c.Manifest)
@@ -82,30 +83,30 @@
 			return nil, result.Errorf(result.StateDiverged, "%v", err)
 		}
 		o.revision = r
-		o.textAfter = func(*text) (*text, error) { return unpackText(c.Text), nil }
+		o.updateText = func(*manifestText) (*manifestText, error) { return unpackManifestText(c.Text), nil }
 		return o, nil
 	case formatRevision:
-		changed, err := decodeChange(c.Change)
+		diff, err := decodeChange(c.Change)
 		if err != nil {
 			return nil, result.Errorf(result.StateDiverged, "%v", err)
 		}
-		o.revision = &changed.Revision
-		o.textAfter = changed.textAfter
+		o.revision = &diff.Revision
+		o.updateText = diff.updateText
 		return o, nil
 	}
-	return nil, result.Errorf(result.FormatUnknown, "log entry of format %d, known are formats up to %d", c.Format, formatNewest)
+	return nil, result.Errorf(result.FormatUnknown, "unknown log entry format %d, the latest known format is %d", c.Format, formatNewest)
 }
 
-// textAfter applies the change of the text to that of the manifest that is changed.
-func (c *change) textAfter(old *text) (*text, error) {
+// updateText applies the text patch to the text of the base manifest.
+func (c *change) updateText(old *manifestText) (*manifestText, error) {
 	if c.Revision.Base == 0 {
 		old = nil
 	}
-	d, err := documentOf(old).Apply(c.Text)
+	d, err := documentOrEmpty(old).Apply(c.Text)
 	if err != nil {
 		return nil, err
 	}
-	return newText(d), nil
+	return newManifestText(d), nil
 }
 
 func (c *change) encode() ([]byte, error) {
@@ -116,11 +117,11 @@
 	return fleet.Pack(raw), nil
 }
 
-// mostChange bounds what the change of one order unpacks to.
-const mostChange = 256 << 20
+// maxChangeBytes bounds the decompressed size of the change of one order.
+const maxChangeBytes = 256 << 20
 
 func decodeChange(packed []byte) (*change, error) {
-	raw, err := fleet.Unpack(packed, mostChange)
+	raw, err := fleet.Unpack(packed, maxChangeBytes)
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack change")
 	}
@@ -128,39 +129,41 @@
 	return &c, errors.Wrap(cbor.Unmarshal(raw, &c), "decode change")
 }
 
-// basis is what a source compares new orders with: the newest manifests applied there.
-type basis struct {
+// diffBase holds the newest manifests applied by a source. New orders are encoded as
+// changes relative to it.
+type diffBase struct {
 	state *fleet.State
-	texts map[string]*text
+	texts map[string]*manifestText
 }
 
-// noBasis makes a change that holds the whole manifest.
-var noBasis = &basis{state: fleet.Empty()}
+// emptyDiffBase yields changes that contain the complete manifest.
+var emptyDiffBase = &diffBase{state: fleet.Empty()}
 
-// revise returns the command that asks for an order as what it changes.
-func (b *basis) revise(o *Order, submitted time.Time) (Command, error) {
-	c := Command{Submitted: submitted, Base: o.Base.entry(), Format: formatRevision}
+// diffCommand returns a command that encodes o as changes relative to b.
+func (b *diffBase) diffCommand(o *Order, submitted time.Time) (Command, error) {
+	c := Command{Submitted: submitted, Base: o.Base.versionPointer(), Format: formatRevision}
 	revision, err := b.state.Revise(&o.Manifest)
 	if err != nil {
 		return c, err
 	}
-	written, err := unpackOrder(o.Text)
+	rawText, err := unpackOrderText(o.Text)
 	if err != nil {
 		return c, err
 	}
-	changed := change{Revision: *revision}
-	if changed.Text, err = document.Diff(documentOf(b.texts[o.Manifest.Mesh]), written); err != nil {
+	diff := change{Revision: *revision}
+	if diff.Text, err = document.Diff(documentOrEmpty(b.texts[o.Manifest.Mesh]), rawText); err != nil {
 		return c, err
 	}
-	c.Change, err = changed.encode()
+	c.Change, err = diff.encode()
 	return c, err
 }
 
-// unpackOrder returns the text of an order, which may have none.
-func unpackOrder(packed []byte) ([]byte, error) {
+// unpackOrderText decompresses the text of an order. It returns nil if the order has
+// no text.
+func unpackOrderText(packed []byte) ([]byte, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	raw, err := fleet.Unpack(packed, mostText)
-	return raw, errors.Wrap(err, "text of the order")
+	raw, err := fleet.Unpack(packed, maxTextBytes)
+	return raw, errors.Wrap(err, "unpack order text")
 }
--- a/internal/process/source/folder_test.go
+++ b/internal/process/source/folder_test.go
@@ -12,9 +12,10 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// TestFolderOfOlderReleaseIsRead holds that a source goes on with the data folder of the
-// release whose entries and snapshots held whole manifests. testdata/folder holds the log
-// that it wrote for 21 versions of two meshes: a snapshot, and entries after it.
+// TestFolderOfOlderReleaseIsRead checks that a source can use the data folder of an older
+// release, whose entries and snapshots contain complete manifests. testdata/folder contains
+// a log written by that release for 21 versions of two meshes: a snapshot followed by
+// entries.
 func TestFolderOfOlderReleaseIsRead(t *testing.T) {
 	c := qt.New(t)
 	raw, err := os.ReadFile("testdata/folder/log-of-manifests")
@@ -31,18 +32,18 @@
 	cl.run(60)
 	c.Assert(m.machine.state.Version, qt.Equals, uint64(21))
 	c.Check(m.machine.state.Hash(), qt.Equals, uint64(11914393982699596201))
-	c.Check(m.machine.all(), qt.HasLen, 21)
+	c.Check(m.machine.allHistory(), qt.HasLen, 21)
 	c.Check(m.machine.newest("a").Time, qt.Equals, time.Unix(120, 678).UTC())
 	for mesh, version := range map[string]uint64{"a": 21, "b": 20} {
-		text, err := documentOf(m.machine.texts[mesh]).Bytes()
+		text, err := documentOrEmpty(m.machine.texts[mesh]).Bytes()
 		c.Assert(err, qt.IsNil)
 		c.Check(string(text), qt.Equals, fmt.Sprintf("text of %s version %d", mesh, version))
 	}
 	for version := range uint64(20) {
 		o := &Order{Manifest: *testManifest("a", version+22, fmt.Sprint("s", version%3)), Text: fleet.Pack([]byte("text"))}
 		accepted := false
-		cl.order(m, o, func(a Answer) { accepted = ok(&a) })
-		cl.settle(m)
+		cl.proposeOrder(m, o, func(a Answer) { accepted = isAccepted(&a) })
+		cl.finishWork(m)
 		cl.run(2)
 		c.Assert(accepted, qt.IsTrue)
 	}
@@ -50,5 +51,5 @@
 	c.Assert(cl.start("a"), qt.IsNil)
 	cl.run(60)
 	c.Check(m.machine.state.Version, qt.Equals, uint64(41))
-	c.Check(cl.fault, qt.Equals, "")
+	c.Check(cl.violation, qt.Equals, "")
 }
--- a/internal/process/source/founding_test.go
+++ b/internal/process/source/founding_test.go
@@ -8,14 +8,14 @@
 	"github.com/daisygate/daisygate/internal/process/replica"
 )
 
-// TestFoundingWithoutAnAnswer founds a group of three while the answers to one of them are
-// lost: the two others found it, and the third gets its vote as one that joins does. Its
-// status then tells of a repair, though its disk was never lost.
+// TestFoundingWithoutAnAnswer forms a group of three while all probe replies to one member
+// are lost. The other two form the group, and the third becomes a voter as a joining member
+// does. Its status then reports a completed repair although its disk was never lost.
 func TestFoundingWithoutAnAnswer(t *testing.T) {
 	c := qt.New(t)
 	cluster := newTestCluster(3, 0)
 	for cluster.leader() == nil {
-		cluster.up(func(m *testMember) { cluster.tick(m, 1) })
+		cluster.forEachRunning(func(m *testMember) { cluster.tick(m, 1) })
 		for len(cluster.net) > 0 {
 			if m := cluster.net[0]; m.To == "c" && m.Type == replica.MsgProbeReply {
 				cluster.net = cluster.net[1:]
@@ -27,5 +27,5 @@
 	c.Assert(cluster.leader().id, qt.Not(qt.Equals), "c")
 	cluster.run(200)
 	c.Check(cluster.members["c"].node.Status().Repair.State, qt.Equals, replica.RepairDone)
-	c.Check(cluster.fault, qt.Equals, "")
+	c.Check(cluster.violation, qt.Equals, "")
 }
--- a/internal/process/source/fuzz_test.go
+++ b/internal/process/source/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/daisygate/daisygate/internal/process/replica"
 )
 
-// TestMain fixes the seed, so that each run tries the same sequences; pass
-// -rapid.seed and -rapid.checks for others.
+// TestMain sets a fixed seed, so that each run tests the same sequences. Use -rapid.seed
+// and -rapid.checks to test others.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -21,64 +21,65 @@
 	os.Exit(m.Run())
 }
 
-// TestFaults draws faults at random: nothing accepted is ever lost or
-// reordered, all sources agree, and once the faults stop all of them take part
-// and accept again.
+// TestFaults injects random faults. It checks that accepted manifests are never lost or
+// reordered, that all sources agree, and that the whole group is available again once the
+// faults stop.
 func TestFaults(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		t.Run(map[int]string{3: "three", 5: "five"}[n], func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { faults(t, n) })
+			rapid.Check(t, func(t *rapid.T) { testFaults(t, n) })
 		})
 	}
 }
 
-// faulty is a cluster under random faults.
-type faulty struct {
+// faultTest is a cluster with random fault injection.
+type faultTest struct {
 	*testCluster
 	t *rapid.T
-	// versions is the highest version submitted of each mesh.
+	// versions is the highest submitted version of each mesh.
 	versions map[string]uint64
-	// held are messages that travel for long.
-	held []replica.Message
+	// delayed are messages to be delivered later.
+	delayed []replica.Message
 }
 
-// fuzzCompactAfter makes snapshots frequent.
+// fuzzCompactAfter is small, so that snapshots are frequent.
 const fuzzCompactAfter = 5
 
-func faults(t *rapid.T, n int) {
-	f := &faulty{testCluster: newTestCluster(n, fuzzCompactAfter), t: t, versions: map[string]uint64{}}
+func testFaults(t *rapid.T, n int) {
+	f := &faultTest{testCluster: newTestCluster(n, fuzzCompactAfter), t: t, versions: map[string]uint64{}}
 	if rapid.Bool().Draw(t, "started") {
 		f.run(60)
 	}
 	actions := []func(){
-		f.submitSome, f.submitSome, f.deliverSome, f.deliverSome, f.deliverTo, f.deliverTo, f.campaign, f.campaign,
+		f.submitSome, f.submitSome, f.deliverSome, f.deliverSome, f.deliverTo, f.deliverTo, f.tickOne, f.tickOne,
 		f.runSome, f.runSome, f.dropSome, f.partition, f.partition, f.healLinks, f.crashOne, f.startAll, f.startAll,
-		f.loseOne, f.fillDisk, f.hold, f.release,
+		f.loseOneDisk, f.fillDisk, f.delaySome, f.deliverDelayed,
 	}
-	f.act(20, 120, actions)
-	f.heal()
+	f.runActions(20, 120, actions)
+	f.checkRecovery()
 }
 
-// act draws and carries out between least and most actions, until a promise is broken.
-func (f *faulty) act(least, most int, actions []func()) {
+// runActions runs between least and most randomly drawn actions. It fails the test on the
+// first violated invariant.
+func (f *faultTest) runActions(least, most int, actions []func()) {
 	for range rapid.IntRange(least, most).Draw(f.t, "steps") {
 		actions[rapid.IntRange(0, len(actions)-1).Draw(f.t, "action")]()
-		if f.fault != "" {
-			f.t.Fatal(f.fault)
+		if f.violation != "" {
+			f.t.Fatal(f.violation)
 		}
 	}
 }
 
-// heal stops the faults and asks for agreement and for progress.
-func (f *faulty) heal() {
-	f.up(func(m *testMember) {
+// checkRecovery stops the faults and checks that the members agree and accept a manifest.
+func (f *faultTest) checkRecovery() {
+	f.forEachRunning(func(m *testMember) {
 		m.dir.full = false
 		if m.node.Status().Failure != "" {
 			f.crash(m.id, 0, false)
 		}
 	})
 	f.startAll()
-	clear(f.cut)
+	clear(f.blockedLinks)
 	f.run(200)
 	leader := f.leader()
 	if leader == nil {
@@ -87,30 +88,30 @@
 	f.versions["m1"]++
 	if answer := f.submit(leader, testManifest("m1", f.versions["m1"], "last")); answer != nil {
 		f.run(20)
-		if !ok(answer) {
+		if !isAccepted(answer) {
 			f.t.Fatalf("not accepted after the faults stopped: %+v", answer)
 		}
 	}
-	f.up(func(m *testMember) {
-		if version := m.machine.state.Version; m.lost || version != f.newest {
+	f.forEachRunning(func(m *testMember) {
+		if version := m.machine.state.Version; m.repairing || version != f.newest {
 			f.t.Fatalf("%s is behind: %d of %d, %+v", m.id, version, f.newest, m.node.Status())
 		}
 	})
-	if f.fault != "" {
-		f.t.Fatal(f.fault)
+	if f.violation != "" {
+		f.t.Fatal(f.violation)
 	}
 }
 
-// pick draws a member, the leader more often than others.
-func (f *faulty) pick() *testMember {
+// pickMember draws a member, the leader with a higher probability than others.
+func (f *faultTest) pickMember() *testMember {
 	if leader := f.leader(); leader != nil && rapid.IntRange(0, 2).Draw(f.t, "leader") == 0 {
 		return leader
 	}
 	return f.members[rapid.SampledFrom(f.ids).Draw(f.t, "member")]
 }
 
-func (f *faulty) submitSome() {
-	m := f.pick()
+func (f *faultTest) submitSome() {
+	m := f.pickMember()
 	if m.node == nil {
 		return
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-func (f *faulty) deliverSome() {
+func (f *faultTest) deliverSome() {
 	for range rapid.IntRange(1, 12).Draw(f.t, "deliveries") {
 		if len(f.net) == 0 {
 			return
@@ -132,20 +133,20 @@
 	}
 }
 
-// hold keeps copies of what is under way, for release to bring them late.
-func (f *faulty) hold() {
+// delaySome moves or copies the messages in the network to delayed.
+func (f *faultTest) delaySome() {
 	if rapid.Bool().Draw(f.t, "moved") {
-		f.held, f.net = append(f.held, f.net...), nil
+		f.delayed, f.net = append(f.delayed, f.net...), nil
 		return
 	}
-	f.held = append(f.held, f.net...)
+	f.delayed = append(f.delayed, f.net...)
 }
 
-func (f *faulty) release() { f.net, f.held = append(f.net, f.held...), nil }
+func (f *faultTest) deliverDelayed() { f.net, f.delayed = append(f.net, f.delayed...), nil }
 
-// deliverTo delivers what waits for one member, in order.
-func (f *faulty) deliverTo() {
-	to := f.pick().id
+// deliverTo delivers all messages for one member, in order.
+func (f *faultTest) deliverTo() {
+	to := f.pickMember().id
 	for i := 0; i < len(f.net); {
 		if f.net[i].To != to {
 			i++
@@ -155,23 +156,23 @@
 	}
 }
 
-// campaign lets time pass at one member only.
-func (f *faulty) campaign() {
-	if m := f.pick(); m.node != nil {
+// tickOne advances the time of one member only, so that it may start an election.
+func (f *faultTest) tickOne() {
+	if m := f.pickMember(); m.node != nil {
 		f.tick(m, rapid.IntRange(1, 25).Draw(f.t, "ticks"))
 	}
 }
 
-func (f *faulty) runSome() { f.run(rapid.IntRange(1, 40).Draw(f.t, "rounds")) }
+func (f *faultTest) runSome() { f.run(rapid.IntRange(1, 40).Draw(f.t, "rounds")) }
 
-func (f *faulty) dropSome() {
+func (f *faultTest) dropSome() {
 	if len(f.net) > 0 {
 		f.net = f.net[rapid.IntRange(0, len(f.net)).Draw(f.t, "dropped"):]
 	}
 }
 
-// partition parts the sources in two.
-func (f *faulty) partition() {
+// partition splits the network into two random partitions.
+func (f *faultTest) partition() {
 	side := map[string]bool{}
 	for _, id := range f.ids {
 		side[id] = rapid.Bool().Draw(f.t, "side")
@@ -183,13 +184,13 @@
 	}
 }
 
-func (f *faulty) healLinks() { clear(f.cut) }
+func (f *faultTest) healLinks() { clear(f.blockedLinks) }
 
-func (f *faulty) crashOne() {
-	f.crash(f.pick().id, rapid.IntRange(0, 200).Draw(f.t, "torn"), rapid.Bool().Draw(f.t, "old names"))
+func (f *faultTest) crashOne() {
+	f.crash(f.pickMember().id, rapid.IntRange(0, 200).Draw(f.t, "torn"), rapid.Bool().Draw(f.t, "old names"))
 }
 
-func (f *faulty) startAll() {
+func (f *faultTest) startAll() {
 	for _, id := range f.ids {
 		if f.members[id].node == nil {
 			if err := f.start(id); err != nil {
@@ -199,23 +200,24 @@
 	}
 }
 
-// loseOne loses a disk, if the last one lost is whole again.
-func (f *faulty) loseOne() {
+// loseOneDisk replaces a disk by an empty one, unless another member is still being
+// repaired.
+func (f *faultTest) loseOneDisk() {
 	for _, m := range f.members {
-		if m.lost {
+		if m.repairing {
 			return
 		}
 	}
-	f.loseDisk(f.pick().id)
+	f.loseDisk(f.pickMember().id)
 }
 
-func (f *faulty) fillDisk() {
-	if m := f.pick(); m.node != nil {
+func (f *faultTest) fillDisk() {
+	if m := f.pickMember(); m.node != nil {
 		m.dir.full = true
 	}
 }
 
-// TestAnswerBeforeCommit holds that a cut-off leader accepts nothing.
+// TestAnswerBeforeCommit checks that an isolated leader accepts nothing.
 func TestAnswerBeforeCommit(t *testing.T) {
 	c := qt.New(t)
 	cl := newTestCluster(3, 0)
@@ -224,5 +226,5 @@
 	cl.isolate(leader.id, true)
 	answer := cl.submit(leader, testManifest("m1", 1, "s"))
 	cl.run(5)
-	c.Assert(ok(answer), qt.IsFalse)
+	c.Assert(isAccepted(answer), qt.IsFalse)
 }
--- a/internal/process/source/golden_test.go
+++ b/internal/process/source/golden_test.go
@@ -10,29 +10,29 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestSessions replays whole sessions of a group of sources; testdata holds
-// what each member tells and what operators are answered.
+// TestSessions replays scripted scenarios with a group of sources. testdata/sessions
+// contains the expected status of each member and the expected answers to operators.
 func TestSessions(t *testing.T) {
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
-		s := &session{}
+		s := &scenario{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			out := s.command(t, d)
-			if s.cluster.fault != "" {
-				t.Fatal(s.cluster.fault)
+			if s.cluster.violation != "" {
+				t.Fatal(s.cluster.violation)
 			}
 			return out
 		})
 	})
 }
 
-type session struct {
+type scenario struct {
 	cluster *testCluster
-	// pending are submits whose answers were not shown, in order.
+	// pending are the answers, in order of submission, that were not printed yet.
 	pending []*Answer
 }
 
-// command runs one directive; bare letters name members.
-func (s *session) command(t *testing.T, d *datadriven.TestData) string {
+// command runs one directive. Arguments of a single letter are member names.
+func (s *scenario) command(t *testing.T, d *datadriven.TestData) string {
 	var ids []string
 	for _, arg := range d.CmdArgs {
 		if len(arg.Vals) == 0 && len(arg.Key) == 1 {
@@ -79,12 +79,12 @@
 	case "deliver", "drop":
 		s.messages(d.Cmd, ids)
 	default:
-		return s.each(t, d, ids)
+		return s.applyToEach(t, d, ids)
 	}
 	return s.status()
 }
 
-func (s *session) restartAll(t *testing.T) {
+func (s *scenario) restartAll(t *testing.T) {
 	for _, id := range s.cluster.ids {
 		s.cluster.crash(id, 0, false)
 		if err := s.cluster.start(id); err != nil {
@@ -93,23 +93,24 @@
 	}
 }
 
-// messages delivers, in order, or drops what waits for the members.
-func (s *session) messages(cmd string, ids []string) {
+// messages delivers, in order, or drops all messages for the given members.
+func (s *scenario) messages(cmd string, ids []string) {
 	for _, id := range ids {
 		for i := 0; i < len(s.cluster.net); {
 			if s.cluster.net[i].To != id {
 				i++
 				continue
 			}
-			s.cluster.cut[[2]string{s.cluster.net[i].From, id}] = cmd == "drop"
+			s.cluster.blockedLinks[[2]string{s.cluster.net[i].From, id}] = cmd == "drop"
 			s.cluster.deliver(i, false)
 		}
 		s.cluster.isolate(id, false)
 	}
 }
 
-// each does something to each of the members and shows them all.
-func (s *session) each(t *testing.T, d *datadriven.TestData, ids []string) string {
+// applyToEach runs a directive on each of the given members and returns the status of all
+// members.
+func (s *scenario) applyToEach(t *testing.T, d *datadriven.TestData, ids []string) string {
 	for _, id := range ids {
 		m := s.cluster.members[id]
 		switch d.Cmd {
@@ -124,7 +125,7 @@
 		case "fill-disk":
 			m.dir.full = true
 		case "append-garbage":
-			m.dir.names["log"].data = append(m.dir.names["log"].data, magicGarbage...)
+			m.dir.names["log"].data = append(m.dir.names["log"].data, invalidRecord...)
 		case "damage":
 			var offset int
 			d.ScanArgs(t, "offset", &offset)
@@ -141,10 +142,10 @@
 	return s.status()
 }
 
-// magicGarbage begins like a record and is none.
-const magicGarbage = "\xd5DG1\x10\x00\x00\x00torn"
+// invalidRecord starts with a valid record header but is not a valid record.
+const invalidRecord = "\xd5DG1\x10\x00\x00\x00torn"
 
-func (s *session) submit(t *testing.T, d *datadriven.TestData, at string) string {
+func (s *scenario) submit(t *testing.T, d *datadriven.TestData, at string) string {
 	var mesh, content string
 	var version uint64
 	d.ScanArgs(t, "mesh", &mesh)
@@ -169,7 +170,7 @@
 	return s.answers()
 }
 
-func (s *session) submitOne(at string, m *manifest.Manifest, version uint64) {
+func (s *scenario) submitOne(at string, m *manifest.Manifest, version uint64) {
 	copied := *m
 	copied.Version = version
 	s.pending = append(s.pending, s.cluster.submit(s.cluster.members[at], &copied))
@@ -178,8 +179,8 @@
 	}
 }
 
-// answers shows the answer of the last submit, once.
-func (s *session) answers() string {
+// answers returns the answer to the last submit. Each answer is returned only once.
+func (s *scenario) answers() string {
 	if len(s.pending) == 0 {
 		return "none"
 	}
@@ -199,7 +200,7 @@
 	return b.String()
 }
 
-func (s *session) status() string {
+func (s *scenario) status() string {
 	var b strings.Builder
 	for _, id := range s.cluster.ids {
 		m := s.cluster.members[id]
--- a/internal/process/source/history.go
+++ b/internal/process/source/history.go
@@ -6,14 +6,15 @@
 	"slices"
 )
 
-// MaxHistory bounds the lines of one answer.
+// MaxHistory is the maximum number of entries in one history response.
 const MaxHistory = 10000
 
-// HistoryRequest asks for the newest accepted manifests.
+// HistoryRequest requests the newest accepted manifests.
 type HistoryRequest struct {
-	// Mesh names the mesh; empty is all.
+	// Mesh is the name of the mesh; empty for all meshes.
 	Mesh string
-	// Limit is the most lines; 0, or more than MaxHistory, is MaxHistory.
+	// Limit is the maximum number of entries; values above MaxHistory, and 0 or less,
+	// mean MaxHistory.
 	Limit int
 }
 
@@ -24,26 +25,26 @@
 	return min(r.Limit, MaxHistory)
 }
 
-// History returns the newest accepted manifests that r asks for, oldest first, as far as
-// this source has applied them.
+// History returns the newest accepted manifests selected by r, oldest first. It returns
+// only manifests that this source has applied.
 func (s *Source) History(ctx context.Context, r HistoryRequest) ([]Accepted, error) {
 	var history []Accepted
-	err := s.group.Query(ctx, func() { history = s.machine.lines(&r) })
+	err := s.group.Query(ctx, func() { history = s.machine.newestHistory(&r) })
 	return history, err
 }
 
-// lines returns the newest lines; each mesh gives no more than are asked for, so that the
-// log is held up no longer than these take.
-func (m *machine) lines(r *HistoryRequest) []Accepted {
+// newestHistory returns the newest history entries selected by r. It takes at most the
+// limit from each mesh, which bounds the time for which applying log entries is blocked.
+func (m *stateMachine) newestHistory(r *HistoryRequest) []Accepted {
 	limit := r.limit()
 	if r.Mesh != "" {
 		h := m.history[r.Mesh]
 		return slices.Clone(h[max(len(h)-limit, 0):])
 	}
-	var lines []Accepted
+	var entries []Accepted
 	for _, h := range m.history {
-		lines = append(lines, h[max(len(h)-limit, 0):]...)
+		entries = append(entries, h[max(len(h)-limit, 0):]...)
 	}
-	slices.SortFunc(lines, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
-	return lines[max(len(lines)-limit, 0):]
+	slices.SortFunc(entries, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
+	return entries[max(len(entries)-limit, 0):]
 }
--- a/internal/process/source/image.go
+++ b/internal/process/source/image.go
@@ -9,81 +9,85 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// The formats of a snapshot.
+// Formats of a snapshot.
 const (
-	// imagePlain is the image itself, as older releases wrote it.
-	imagePlain = iota
-	// imagePacked is the image compressed: to a newcomer it crosses failure domains.
-	imagePacked
-	// imageRollouts is imagePacked with roll-outs, which older releases would lose.
-	imageRollouts
-	imageNewest = imageRollouts
+	// snapshotPlain is uncompressed; written by older releases.
+	snapshotPlain = iota
+	// snapshotCompressed is compressed, because snapshots are sent to new members in
+	// other failure domains.
+	snapshotCompressed
+	// snapshotWithRollouts is snapshotCompressed with roll-outs. It has a separate
+	// number because older releases would drop the roll-outs.
+	snapshotWithRollouts
+	snapshotNewest = snapshotWithRollouts
 )
 
-// mostImage bounds what a snapshot unpacks to.
-const mostImage = 1 << 30
+// maxSnapshotBytes bounds the decompressed size of a snapshot.
+const maxSnapshotBytes = 1 << 30
 
-// machineImage is the encoded form of a machine, for snapshots.
-type machineImage struct {
+// encodedSnapshot is the CBOR representation of a stateMachine.
+type encodedSnapshot struct {
 	Delta   []byte     `cbor:"1,keyasint,omitempty"`
 	History []Accepted `cbor:"2,keyasint,omitempty"`
-	// Texts are sorted by mesh when encoded.
+	// Texts are sorted by mesh when encoded, so that equal maps have equal encodings.
 	Texts map[string][]byte `cbor:"3,keyasint,omitempty"`
-	// Format says what Packed holds; all of the above is in there if it is set.
+	// Format is the format of Packed. If it is not snapshotPlain, the fields above are
+	// empty and Packed contains them.
 	Format uint64 `cbor:"4,keyasint,omitempty"`
 	Packed []byte `cbor:"5,keyasint,omitempty"`
 }
 
 // Snapshot implements quorum.StateMachine.
-func (m *machine) Snapshot() ([]byte, error) {
+func (m *stateMachine) Snapshot() ([]byte, error) {
 	delta, err := m.state.Snapshot().Encode()
 	if err != nil {
 		return nil, err
 	}
-	image := machineImage{Delta: delta, History: m.all(), Texts: map[string][]byte{}}
+	snapshot := encodedSnapshot{Delta: delta, History: m.allHistory(), Texts: map[string][]byte{}}
 	for mesh, text := range m.texts {
-		if image.Texts[mesh], err = text.pack(); err != nil {
+		if snapshot.Texts[mesh], err = text.pack(); err != nil {
 			return nil, result.Errorf(result.StateDiverged, "text of mesh %s: %v", mesh, err)
 		}
 	}
-	raw, err := quorum.Encode(image)
+	raw, err := quorum.Encode(snapshot)
 	if err != nil {
 		return nil, err
 	}
-	format := uint64(imagePacked)
+	format := uint64(snapshotCompressed)
 	if m.state.HasRollouts() {
-		format = imageRollouts
+		format = snapshotWithRollouts
 	}
-	return quorum.Encode(machineImage{Format: format, Packed: fleet.Pack(raw)})
+	return quorum.Encode(encodedSnapshot{Format: format, Packed: fleet.Pack(raw)})
 }
 
-// decodeImage reads a snapshot of any known format.
-func decodeImage(raw []byte) (*machineImage, error) {
-	var image machineImage
-	if err := cbor.Unmarshal(raw, &image); err != nil {
+// decodeSnapshot decodes a snapshot of any known format.
+func decodeSnapshot(raw []byte) (*encodedSnapshot, error) {
+	var snapshot encodedSnapshot
+	if err := cbor.Unmarshal(raw, &snapshot); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
-	if image.Format > imageNewest {
-		return nil, result.Errorf(result.FormatUnknown, "snapshot of format %d, known are formats up to %d", image.Format, imageNewest)
+	if snapshot.Format > snapshotNewest {
+		return nil, result.Errorf(result.FormatUnknown, "unknown snapshot format %d, the latest known format is %d", snapshot.Format, snapshotNewest)
 	}
-	if image.Format == imagePlain {
-		return &image, nil
+	if snapshot.Format == snapshotPlain {
+		return &snapshot, nil
 	}
-	raw, err := fleet.Unpack(image.Packed, mostImage)
+	raw, err := fleet.Unpack(snapshot.Packed, maxSnapshotBytes)
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack snapshot")
 	}
-	image = machineImage{}
-	return &image, errors.Wrap(cbor.Unmarshal(raw, &image), "decode packed snapshot")
+	snapshot = encodedSnapshot{}
+	return &snapshot, errors.Wrap(cbor.Unmarshal(raw, &snapshot), "decode packed snapshot")
 }
 
-// Restore implements quorum.StateMachine. A snapshot that is refused changes nothing.
-func (m *machine) Restore(raw []byte) error {
-	image, err := decodeImage(raw)
+// Restore implements quorum.StateMachine. It leaves the state unchanged if it returns an
+// error.
+func (m *stateMachine) Restore(raw []byte) error {
+	snapshot, err := decodeSnapshot(raw)
 	if err != nil {
 		return err
 	}
-	delta, err := fleet.DecodeDelta(image.Delta)
+	delta, err := fleet.DecodeDelta(snapshot.Delta)
 	if err != nil {
 		return err
 	}
@@ -96,16 +100,16 @@
 		return err
 	}
 	m.state, m.routes = state, routes
-	m.texts = map[string]*text{}
-	for mesh, packed := range image.Texts {
-		m.texts[mesh] = unpackText(packed)
+	m.texts = map[string]*manifestText{}
+	for mesh, packed := range snapshot.Texts {
+		m.texts[mesh] = unpackManifestText(packed)
 	}
 	m.history = map[string][]Accepted{}
-	for _, line := range image.History {
-		line.Time = line.Time.UTC()
-		m.history[line.Mesh] = append(m.history[line.Mesh], line)
+	for _, entry := range snapshot.History {
+		entry.Time = entry.Time.UTC()
+		m.history[entry.Mesh] = append(m.history[entry.Mesh], entry)
 	}
-	m.basis.Store(&basis{state: m.state, texts: m.texts})
-	m.changed = true
+	m.diffBase.Store(&diffBase{state: m.state, texts: m.texts})
+	m.unpublished = true
 	return nil
 }
--- a/internal/process/source/machine.go
+++ b/internal/process/source/machine.go
@@ -15,79 +15,83 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// Accepted is one line of the history.
+// Accepted is the history entry of one accepted manifest.
 type Accepted struct {
-	// Fleet is the fleet version the manifest brought.
+	// Fleet is the fleet version created by accepting the manifest.
 	Fleet uint64 `cbor:"1,keyasint" json:"fleet"`
 	Mesh  string `cbor:"2,keyasint" json:"mesh"`
-	// Version is the operators' number.
+	// Version is the version number assigned by the operator.
 	Version uint64    `cbor:"3,keyasint" json:"version"`
 	Content uint64    `cbor:"4,keyasint" json:"content"`
 	Time    time.Time `cbor:"5,keyasint" json:"time"`
 }
 
-// Answer is what an operator is told.
+// Answer is the response to an operator's request.
 type Answer struct {
 	Code result.Code `json:"code"`
-	// Fleet is the fleet version that holds the manifest, if accepted.
+	// Fleet is the fleet version that contains the manifest, if accepted.
 	Fleet uint64 `json:"fleet,omitempty"`
-	// Winner is the accepted manifest that stands in the way, if refused.
+	// Winner is the accepted manifest that conflicts with the order, if rejected. For
+	// a read, it is the newest accepted manifest.
 	Winner *Accepted `json:"winner,omitempty"`
 	Detail string    `json:"detail,omitempty"`
-	// Text answers a read: the newest manifest as its operator wrote it, packed;
-	// empty before the first. Without a name of its own in CBOR it would be left out
-	// there too, and no answer of the leader would reach an operator who asked another
-	// source.
+	// Text is the response to a read: the compressed source text of the newest
+	// manifest, empty before the first one. It needs an explicit CBOR name: otherwise
+	// the json tag "-" would also omit it from CBOR, and reads forwarded to the leader
+	// would return no text.
 	Text []byte `json:"-" cbor:"text,omitempty"`
-	// Rollout is the newest roll-out of the service that was asked about.
+	// Rollout is the newest roll-out of the requested service.
 	Rollout *fleet.Rollout `json:"rollout,omitempty"`
 }
 
-// historyLimit bounds the lines kept of one mesh, so that a busy mesh does not
-// push out another's. The newest line of a mesh is always kept.
-const historyLimit = 8192
+// maxHistoryPerMesh is the maximum number of history entries kept for each mesh. The
+// limit is per mesh so that frequent changes in one mesh do not evict the history of
+// another. The newest entry of a mesh is always kept.
+const maxHistoryPerMesh = 8192
 
-// machine is the state that the log's entries build, the same on each source.
-type machine struct {
+// stateMachine is the replicated state machine. Applying the same log entries gives
+// the same state on every source.
+type stateMachine struct {
 	state *fleet.State
-	// history of each mesh, oldest first.
+	// history holds the accepted manifests of each mesh, oldest first.
 	history map[string][]Accepted
-	// texts are the newest manifests as their operators wrote them, by mesh. The map is
-	// replaced and never changed: it is shared with basis.
-	texts  map[string]*text
+	// texts are the source texts of the newest manifests by mesh. The map is copied on
+	// write, because it is shared with diffBase.
+	texts  map[string]*manifestText
 	routes routeIndex
-	// basis is what new orders are compared with; read by other goroutines.
-	basis atomic.Pointer[basis]
-	// changed is set until the newest state is handed out.
-	changed bool
-	// limit is the most lines kept of one mesh.
-	limit int
-	log   logr.Logger
-	// onState is called with the newest state.
+	// diffBase is the state that new orders are diffed against; it is read by other
+	// goroutines.
+	diffBase atomic.Pointer[diffBase]
+	// unpublished is set while the newest state has not been passed to onState.
+	unpublished bool
+	// maxHistory is the maximum number of history entries kept for each mesh.
+	maxHistory int
+	log        logr.Logger
+	// onState is called with each newly published state.
 	onState func(*fleet.State)
 }
 
-func newMachine(log logr.Logger, onState func(*fleet.State)) *machine {
-	m := &machine{
-		state: fleet.Empty(), history: map[string][]Accepted{}, texts: map[string]*text{}, routes: routeIndex{},
-		limit: historyLimit, log: log, onState: onState,
+func newStateMachine(log logr.Logger, onState func(*fleet.State)) *stateMachine {
+	m := &stateMachine{
+		state: fleet.Empty(), history: map[string][]Accepted{}, texts: map[string]*manifestText{}, routes: routeIndex{},
+		maxHistory: maxHistoryPerMesh, log: log, onState: onState,
 	}
-	m.basis.Store(noBasis)
+	m.diffBase.Store(emptyDiffBase)
 	return m
 }
 
-// all returns every line kept, oldest first.
-func (m *machine) all() []Accepted {
-	var lines []Accepted
+// allHistory returns all retained history entries of all meshes, oldest first.
+func (m *stateMachine) allHistory() []Accepted {
+	var entries []Accepted
 	for _, h := range m.history {
-		lines = append(lines, h...)
+		entries = append(entries, h...)
 	}
-	slices.SortFunc(lines, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
-	return lines
+	slices.SortFunc(entries, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
+	return entries
 }
 
 // Apply implements quorum.StateMachine.
-func (m *machine) Apply(_, _ uint64, data []byte) (outcome, error) {
+func (m *stateMachine) Apply(_, _ uint64, data []byte) (outcome, error) {
 	c, err := decodeCommand(data)
 	if err != nil {
 		return outcome{Answer: Answer{Code: result.ManifestInvalid, Detail: err.Error()}}, nil
@@ -99,26 +103,26 @@
 	if c.Format == formatRollout && c.Rollout != nil {
 		return outcome{Answer: m.applyRollout(c.Rollout, c.Submitted.UTC())}, nil
 	}
-	o, err := c.order()
+	o, err := c.decodeOrder()
 	if err != nil {
 		return outcome{}, err
 	}
-	answer, err := m.apply(o)
+	answer, err := m.applyOrder(o)
 	return outcome{Answer: answer}, err
 }
 
-// Applied implements quorum.StateMachine: it hands the newest state out.
-func (m *machine) Applied() {
-	if m.changed {
-		m.changed = false
+// Applied implements quorum.StateMachine. It publishes the newest state.
+func (m *stateMachine) Applied() {
+	if m.unpublished {
+		m.unpublished = false
 		m.onState(m.state)
 	}
 }
 
-// Check implements quorum.Checker. It turns down what no source could apply, and a
-// revision of a manifest that is not the newest here, for which its sender still has the
-// whole. What is only to be answered, such as a resend, is left to the log.
-func (m *machine) Check(data []byte) *result.Error {
+// Check implements quorum.Checker. It rejects commands that no source could apply, and
+// revisions whose base manifest is outdated; the sender retries those with the complete
+// manifest. Orders that only need an answer, such as resends, are passed to the log.
+func (m *stateMachine) Check(data []byte) *result.Error {
 	c, err := decodeCommand(data)
 	if err != nil {
 		return result.Errorf(result.ManifestInvalid, "%v", err)
@@ -126,16 +130,17 @@
 	if c.Read != "" || (c.Format == formatRollout && c.Rollout != nil) {
 		return nil
 	}
-	o, err := c.order()
+	o, err := c.decodeOrder()
 	if err != nil {
 		return result.Errorf(result.ManifestInvalid, "%v", err)
 	}
-	if _, refused := m.refuse(o); refused {
+	if _, refused := m.checkConflicts(o); refused {
 		return nil
 	}
-	_, text, err := m.next(o)
+	_, text, err := m.nextState(o)
 	if err == nil {
-		// No source could put a text with another hash into its next snapshot.
+		// A text whose hash does not match would make the next snapshot of every
+		// source fail.
 		_, err = text.document.Bytes()
 	}
 	switch {
@@ -147,13 +152,13 @@
 	return nil
 }
 
-// apply decides one order. Refusals change nothing. An error means that the order fits
-// what the leader had, and not what is here.
-func (m *machine) apply(o *order) (Answer, error) {
-	if refusal, refused := m.refuse(o); refused {
+// applyOrder applies one order, or rejects it without changing the state. An error means
+// that the leader could apply the order but this source cannot: their states differ.
+func (m *stateMachine) applyOrder(o *decodedOrder) (Answer, error) {
+	if refusal, refused := m.checkConflicts(o); refused {
 		return refusal, nil
 	}
-	next, text, err := m.next(o)
+	next, text, err := m.nextState(o)
 	switch {
 	case errors.Is(err, fleet.ErrBase):
 		return Answer{Code: result.RevisionStale, Detail: err.Error()}, nil
@@ -161,70 +166,72 @@
 		return Answer{}, result.Errorf(result.StateDiverged, "mesh %s version %d: %v", o.revision.Mesh, o.revision.Version, err)
 	}
 	r := o.revision
-	moved := movedRoutes(m.state, next, r)
-	if clash := m.routes.clash(r.Mesh, moved.added); clash != nil {
-		return Answer{Code: result.RouteConflict, Winner: m.newest(clash.mesh), Detail: clash.String()}, nil
+	diff := diffRoutes(m.state, next, r)
+	if conflict := m.routes.findConflict(r.Mesh, diff.added); conflict != nil {
+		return Answer{Code: result.RouteConflict, Winner: m.newest(conflict.otherMesh), Detail: conflict.String()}, nil
 	}
-	m.routes.move(r.Mesh, moved)
+	m.routes.apply(r.Mesh, diff)
 	m.state = next
 	m.texts = maps.Clone(m.texts)
 	m.texts[r.Mesh] = text
-	m.remember(Accepted{Fleet: next.Version, Mesh: r.Mesh, Version: r.Version, Content: r.Content, Time: o.submitted})
-	m.basis.Store(&basis{state: m.state, texts: m.texts})
-	m.changed = true
+	m.appendHistory(Accepted{Fleet: next.Version, Mesh: r.Mesh, Version: r.Version, Content: r.Content, Time: o.submitted})
+	m.diffBase.Store(&diffBase{state: m.state, texts: m.texts})
+	m.unpublished = true
 	m.log.Info("accepted", "mesh", r.Mesh, "version", r.Version, "fleet", next.Version, "changes", len(r.Changes))
 	return Answer{Code: result.Accepted, Fleet: next.Version}, nil
 }
 
-// next is the state and the text after an order.
-func (m *machine) next(o *order) (*fleet.State, *text, error) {
+// nextState returns the state and the manifest text that result from an order.
+func (m *stateMachine) nextState(o *decodedOrder) (*fleet.State, *manifestText, error) {
 	next, err := m.state.Take(o.revision)
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := o.textAfter(m.texts[o.revision.Mesh])
+	text, err := o.updateText(m.texts[o.revision.Mesh])
 	return next, text, err
 }
 
-func (m *machine) remember(line Accepted) {
-	lines := append(m.history[line.Mesh], line)
-	if len(lines) > m.limit {
-		lines = slices.Clone(lines[len(lines)-m.limit:])
+func (m *stateMachine) appendHistory(entry Accepted) {
+	entries := append(m.history[entry.Mesh], entry)
+	if len(entries) > m.maxHistory {
+		entries = slices.Clone(entries[len(entries)-m.maxHistory:])
 	}
-	m.history[line.Mesh] = lines
+	m.history[entry.Mesh] = entries
 }
 
-// refuse answers what is not new: a resend, a lost race, an old version. An order that names
-// its base and lost a race is told that its base has moved, also where the winner took the
-// same number: that is what its operator has to look at.
-func (m *machine) refuse(o *order) (Answer, bool) {
+// checkConflicts returns the answer to an order that must not be applied: a resend, a
+// conflict with a concurrent order, or an old version. An order with a base that lost to a
+// concurrent order gets BaseMoved, even if the winner has the same version number: the
+// moved base is what the operator has to resolve.
+func (m *stateMachine) checkConflicts(o *decodedOrder) (Answer, bool) {
 	r := o.revision
-	first, newest := m.find(r.Mesh, r.Version), m.newest(r.Mesh)
+	first, newest := m.findVersion(r.Mesh, r.Version), m.newest(r.Mesh)
 	if first != nil && first.Content == r.Content {
 		return Answer{Code: result.AlreadyAccepted, Fleet: first.Fleet}, true
 	}
 	if current := newest.Number(); o.base != nil && *o.base != current {
-		return Answer{Code: result.BaseMoved, Winner: newest, Detail: fmt.Sprintf("builds on %d, current is %d", *o.base, current)}, true
+		return Answer{Code: result.BaseMoved, Winner: newest, Detail: fmt.Sprintf("order is based on version %d, current version is %d", *o.base, current)}, true
 	}
 	if first != nil {
 		return Answer{Code: result.VersionConflict, Winner: first}, true
 	}
 	if newest != nil && r.Version < newest.Version {
-		return Answer{Code: result.VersionOld, Winner: newest, Detail: m.forgotten(r)}, true
+		return Answer{Code: result.VersionOld, Winner: newest, Detail: m.truncatedHistoryDetail(r)}, true
 	}
 	return Answer{}, false
 }
 
-// forgotten says so when the version may have been accepted, too long ago.
-func (m *machine) forgotten(r *fleet.Revision) string {
-	lines := m.history[r.Mesh]
-	if len(lines) < m.limit || r.Version > lines[0].Version {
+// truncatedHistoryDetail returns an explanation if the version is older than the retained
+// history, so that it is unknown whether it was accepted.
+func (m *stateMachine) truncatedHistoryDetail(r *fleet.Revision) string {
+	entries := m.history[r.Mesh]
+	if len(entries) < m.maxHistory || r.Version > entries[0].Version {
 		return ""
 	}
-	return "it is older than the kept history, which does not tell whether it was accepted"
+	return "the version is older than the retained history, so it is unknown whether it was accepted"
 }
 
-// Number is the operators' number of the version; 0 without a line.
+// Number returns the version number assigned by the operator, or 0 if a is nil.
 func (a *Accepted) Number() uint64 {
 	if a == nil {
 		return 0
@@ -232,22 +239,23 @@
 	return a.Version
 }
 
-func (m *machine) newest(mesh string) *Accepted {
-	lines := m.history[mesh]
-	if len(lines) == 0 {
+func (m *stateMachine) newest(mesh string) *Accepted {
+	entries := m.history[mesh]
+	if len(entries) == 0 {
 		return nil
 	}
-	line := lines[len(lines)-1]
-	return &line
+	entry := entries[len(entries)-1]
+	return &entry
 }
 
-// find returns the line of a version; a mesh's versions only go up.
-func (m *machine) find(mesh string, version uint64) *Accepted {
-	lines := m.history[mesh]
-	i, found := slices.BinarySearchFunc(lines, version, func(a Accepted, v uint64) int { return cmp.Compare(a.Version, v) })
+// findVersion returns the history entry of a version, or nil. It uses binary search:
+// the versions of a mesh only increase.
+func (m *stateMachine) findVersion(mesh string, version uint64) *Accepted {
+	entries := m.history[mesh]
+	i, found := slices.BinarySearchFunc(entries, version, func(a Accepted, v uint64) int { return cmp.Compare(a.Version, v) })
 	if !found {
 		return nil
 	}
-	line := lines[i]
-	return &line
+	entry := entries[i]
+	return &entry
 }
--- a/internal/process/source/memdir_test.go
+++ b/internal/process/source/memdir_test.go
@@ -9,12 +9,12 @@
 	"github.com/daisygate/daisygate/internal/process/storage"
 )
 
-var errDisk = errors.New("no space left on device")
+var errDiskFull = errors.New("no space left on device")
 
-// memDir is a data folder in memory that keeps apart what was synced.
+// memDir is an in-memory data folder that tracks which data was synced.
 type memDir struct {
 	names, durable map[string]*memFile
-	// full makes each write and sync fail.
+	// full makes every write and sync fail.
 	full bool
 }
 
@@ -28,8 +28,8 @@
 	return &memDir{names: map[string]*memFile{}, durable: map[string]*memFile{}}
 }
 
-// crash loses what was not synced, but for keep bytes of each file's tail; and
-// unsynced names if oldNames is set.
+// crash discards unsynced data, except for the first keep unsynced bytes of each file. It
+// also discards unsynced file names if oldNames is set.
 func (d *memDir) crash(keep int, oldNames bool) {
 	if oldNames {
 		d.names = maps.Clone(d.durable)
@@ -78,7 +78,7 @@
 func (f *memFile) Write(p []byte) (int, error) {
 	if f.dir.full {
 		f.data = append(f.data, p[:len(p)/2]...)
-		return len(p) / 2, errDisk
+		return len(p) / 2, errDiskFull
 	}
 	f.data = append(f.data, p...)
 	return len(p), nil
@@ -86,7 +86,7 @@
 
 func (f *memFile) Sync() error {
 	if f.dir.full {
-		return errDisk
+		return errDiskFull
 	}
 	f.synced = len(f.data)
 	return nil
--- a/internal/process/source/outcome.go
+++ b/internal/process/source/outcome.go
@@ -7,16 +7,16 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// outcome is an answer whose text is not packed yet. Packing takes as long as applying
-// some hundred changes, so it is left to the goroutine that asked, at the one source that
-// was asked, and the group goes on meanwhile.
+// outcome is an answer whose text is not compressed yet. Compression takes as long as
+// applying several hundred changes. It is therefore done by the requesting goroutine, on
+// the source that received the request, so that it does not block the group.
 type outcome struct {
 	Answer
-	text *text
+	text *manifestText
 }
 
-// finish returns the whole answer.
-func (o outcome) finish() Answer {
+// packedAnswer returns the answer with its text compressed.
+func (o outcome) packedAnswer() Answer {
 	if o.text == nil {
 		return o.Answer
 	}
@@ -28,8 +28,8 @@
 	return o.Answer
 }
 
-// MarshalCBOR implements cbor.Marshaler: the finished answer travels.
-func (o outcome) MarshalCBOR() ([]byte, error) { return quorum.Encode(o.finish()) }
+// MarshalCBOR implements cbor.Marshaler. It encodes the answer with its text compressed.
+func (o outcome) MarshalCBOR() ([]byte, error) { return quorum.Encode(o.packedAnswer()) }
 
 // UnmarshalCBOR implements cbor.Unmarshaler.
 func (o *outcome) UnmarshalCBOR(raw []byte) error {
--- a/internal/process/source/reads_test.go
+++ b/internal/process/source/reads_test.go
@@ -13,84 +13,85 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// TestReadsUnderFaults draws orders, each on a base, and reads, under the faults of
-// TestLossesInSeries, and holds the whole history against what operators were told: of
-// the orders on one base one is accepted, and a read is no older than what had been
-// acknowledged when it was asked, with the text of the version it names. Answers travel
-// as they do from the leader to the source that was asked; the sessions before this one
-// took them from the leader itself, and found all in order while no read got through.
+// TestReadsUnderFaults runs random orders with a base, and reads, under the faults of
+// TestLossesInSeries. It checks the answers for linearizability: at most one order per base
+// is accepted, and a read returns the newest version acknowledged before the call or a
+// later one, with the matching text. Answers are encoded and decoded as between the leader
+// and the contacted source: a test that takes them directly from the leader does not notice
+// when forwarded reads fail.
 func TestReadsUnderFaults(t *testing.T) { rapid.Check(t, readsUnderFaults) }
 
 func readsUnderFaults(t *rapid.T) {
-	f := &faulty{testCluster: openGrowing(), t: t, versions: map[string]uint64{}}
-	o := &observed{faulty: f, winners: map[uint64]uint64{}}
+	f := &faultTest{testCluster: newGrownCluster(), t: t, versions: map[string]uint64{}}
+	o := &readObserver{faultTest: f, winners: map[uint64]uint64{}}
 	actions := []func(){
 		o.orderSome, o.orderSome, o.orderSome, o.read, o.read, o.read, f.deliverSome, f.deliverSome, f.deliverTo, f.runSome, f.runSome,
-		f.campaign, f.dropSome, f.hold, f.release, f.crashOne, f.startAll, f.away, f.behind,
-		f.powerLoss, f.loseHolders, f.powerLossWithDisks,
+		f.tickOne, f.dropSome, f.delaySome, f.deliverDelayed, f.crashOne, f.startAll, f.stopOne, f.isolateSome,
+		f.powerLoss, f.loseNewestHolders, f.powerLossWithDisks,
 	}
-	f.act(10, 80, actions)
-	f.healReplaced()
+	f.runActions(10, 80, actions)
+	f.checkRecoveryAfterRestart()
 	answered := o.readAt(f.leader())
 	f.run(20)
-	if f.fault != "" || !*answered {
-		t.Fatalf("the newest version cannot be read after the faults stopped: %s", f.fault)
+	if f.violation != "" || !*answered {
+		t.Fatalf("the newest version cannot be read after the faults stopped: %s", f.violation)
 	}
 }
 
-// readMesh is the mesh whose orders and reads are observed.
+// readMesh is the mesh that the test reads and writes.
 const readMesh = "read"
 
-// observed is a cluster with what operators were told of readMesh.
-type observed struct {
-	*faulty
-	// acknowledged is the newest version that was acknowledged.
+// readObserver is a cluster that records the answers for readMesh.
+type readObserver struct {
+	*faultTest
+	// acknowledged is the newest acknowledged version.
 	acknowledged uint64
-	// winners are the versions acknowledged on each base.
+	// winners are the acknowledged versions by base.
 	winners map[uint64]uint64
 }
 
-// orderSome hands in one order or two, on what was acknowledged last or on none.
-func (o *observed) orderSome() {
+// orderSome submits one or two orders, based on the newest acknowledged version or on 0.
+func (o *readObserver) orderSome() {
 	base := o.acknowledged
 	if rapid.IntRange(0, 4).Draw(o.t, "on none") == 0 {
 		base = 0
 	}
 	for range rapid.IntRange(1, 2).Draw(o.t, "orders") {
-		if m := o.pick(); m.node != nil {
-			o.order(m, base, base+uint64(rapid.IntRange(1, 3).Draw(o.t, "step")))
+		if m := o.pickMember(); m.node != nil {
+			o.submitOrder(m, base, base+uint64(rapid.IntRange(1, 3).Draw(o.t, "step")))
 		}
 	}
 }
 
-func (o *observed) order(m *testMember, base, version uint64) {
+func (o *readObserver) submitOrder(m *testMember, base, version uint64) {
 	command := &Order{
 		Manifest: *testManifest(readMesh, version, fmt.Sprintf("s%d", base)), Base: On(base), Text: fleet.Pack([]byte(orderText(version, base))),
 	}
-	o.testCluster.order(m, command, func(a Answer) {
-		a = travelled(o.t, outcome{Answer: a}).finish()
-		if !ok(&a) {
+	o.testCluster.proposeOrder(m, command, func(a Answer) {
+		a = roundTrip(o.t, outcome{Answer: a}).packedAnswer()
+		if !isAccepted(&a) {
 			return
 		}
 		if other, taken := o.winners[base]; taken && other != version {
-			o.blame("versions %d and %d were both accepted on %d", other, version, base)
+			o.reportViolation("versions %d and %d were both accepted on base %d", other, version, base)
 		}
 		o.winners[base] = version
 		o.acknowledged = max(o.acknowledged, version)
 	})
-	o.settle(m)
+	o.finishWork(m)
 }
 
 func orderText(version, base uint64) string { return fmt.Sprintf("version %d on %d", version, base) }
 
-func (o *observed) read() {
-	if m := o.pick(); m.node != nil {
+func (o *readObserver) read() {
+	if m := o.pickMember(); m.node != nil {
 		o.readAt(m)
 	}
 }
 
-// readAt reads at a member; what it returns is set once the read is answered.
-func (o *observed) readAt(m *testMember) *bool {
+// readAt reads through a member. The returned value is set to true once the read is
+// answered.
+func (o *readObserver) readAt(m *testMember) *bool {
 	answered, floor := new(bool), o.acknowledged
 	o.propose(m, Command{Read: readMesh}, func(a Answer) {
 		if a.Code != result.Answered {
@@ -99,28 +100,29 @@
 		*answered = true
 		version := a.Winner.Number()
 		if version < floor {
-			o.blame("read version %d, %d was acknowledged before the question", version, floor)
+			o.reportViolation("read version %d, but version %d was acknowledged before the read", version, floor)
 		}
-		text, err := unpackOrder(a.Text)
+		text, err := unpackOrderText(a.Text)
 		if version > 0 && (err != nil || !strings.HasPrefix(string(text), fmt.Sprintf("version %d on ", version))) {
-			o.blame("read version %d with the text %q, %v", version, text, err)
+			o.reportViolation("read version %d with the text %q, %v", version, text, err)
 		}
 	})
 	return answered
 }
 
-// propose hands a command to a member; its answer travels before it is told.
-func (o *observed) propose(m *testMember, c Command, told func(Answer)) {
+// propose proposes a command through a member. The answer is encoded and decoded before it
+// is passed to done.
+func (o *readObserver) propose(m *testMember, c Command, done func(Answer)) {
 	raw, err := encodeCommand(c)
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	m.node.Propose(raw, func(w outcome, err error) { told(answerOf(travelled(o.t, w), err)) })
-	o.settle(m)
+	m.node.Propose(raw, func(w outcome, err error) { done(toAnswer(roundTrip(o.t, w), err)) })
+	o.finishWork(m)
 }
 
-// travelled is an answer as it arrives at another source.
-func travelled(t *rapid.T, sent outcome) (got outcome) {
+// roundTrip encodes and decodes an answer, as when it is sent to another source.
+func roundTrip(t *rapid.T, sent outcome) (got outcome) {
 	raw, err := quorum.Encode(sent)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/process/source/refuse_test.go
+++ b/internal/process/source/refuse_test.go
@@ -10,13 +10,13 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// TestLostRace hands two orders in on one base under one number: the second is told that its
-// base has moved, and one that names no base that its number is taken.
+// TestLostRace submits two orders with the same base and version number. The second is
+// rejected with BaseMoved, or with VersionConflict if it has no base.
 func TestLostRace(t *testing.T) {
 	c := qt.New(t)
-	m := newMachine(logr.Discard(), func(*fleet.State) {})
+	m := newStateMachine(logr.Discard(), func(*fleet.State) {})
 	order := func(service string, base Base) Answer {
-		cmd, err := noBasis.revise(&Order{Manifest: *testManifest("m", 7, service), Base: base}, rolloutStart)
+		cmd, err := emptyDiffBase.diffCommand(&Order{Manifest: *testManifest("m", 7, service), Base: base}, rolloutStart)
 		c.Assert(err, qt.IsNil)
 		raw, err := encodeCommand(cmd)
 		c.Assert(err, qt.IsNil)
--- a/internal/process/source/revision_test.go
+++ b/internal/process/source/revision_test.go
@@ -14,7 +14,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// largeOrder is an order of so many routes; the path of one follows the version.
+// largeOrder returns an order with the given number of routes. The path of one route
+// depends on the version.
 func largeOrder(version uint64, routes int) *Order {
 	m := testManifest("m", version, "s")
 	for i := range routes {
@@ -30,15 +31,15 @@
 	return &Order{Manifest: *m, Text: fleet.Pack(text)}
 }
 
-// TestEntryCostsWhatItChanges holds that the entry of one changed route takes less than
-// 1 kB in a manifest of 400 routes as in one of 4,000: entries go to each source, most of
-// them in other failure domains.
+// TestEntryCostsWhatItChanges checks that the log entry for one changed route takes less
+// than 1 kB in a manifest of 400 routes and in one of 4,000. Entries are sent to every
+// source, and most sources are in other failure domains.
 func TestEntryCostsWhatItChanges(t *testing.T) {
 	c := qt.New(t)
 	for _, routes := range []int{400, 4000} {
-		m := newMachine(logr.Discard(), func(*fleet.State) {})
-		c.Assert(applied(t, m, largeOrder(1, routes)).Code, qt.Equals, result.Accepted)
-		command, err := m.basis.Load().revise(largeOrder(2, routes), time.Unix(5, 0).UTC())
+		m := newStateMachine(logr.Discard(), func(*fleet.State) {})
+		c.Assert(mustApplyOrder(t, m, largeOrder(1, routes)).Code, qt.Equals, result.Accepted)
+		command, err := m.diffBase.Load().diffCommand(largeOrder(2, routes), time.Unix(5, 0).UTC())
 		c.Assert(err, qt.IsNil)
 		raw, err := encodeCommand(command)
 		c.Assert(err, qt.IsNil)
@@ -46,14 +47,14 @@
 	}
 }
 
-// TestOnlyTheNewestIsHandedOut holds that a batch of entries, such as the log after a
-// restart, puts one state in force and not each in turn.
+// TestOnlyTheNewestIsHandedOut checks that a batch of entries, such as the log after a
+// restart, publishes only the final state and not every intermediate one.
 func TestOnlyTheNewestIsHandedOut(t *testing.T) {
 	c := qt.New(t)
 	var versions []uint64
-	m := newMachine(logr.Discard(), func(s *fleet.State) { versions = append(versions, s.Version) })
+	m := newStateMachine(logr.Discard(), func(s *fleet.State) { versions = append(versions, s.Version) })
 	for version := range uint64(10) {
-		command, err := m.basis.Load().revise(&Order{Manifest: *testManifest("m", version+1, "s")}, time.Unix(5, 0))
+		command, err := m.diffBase.Load().diffCommand(&Order{Manifest: *testManifest("m", version+1, "s")}, time.Unix(5, 0))
 		c.Assert(err, qt.IsNil)
 		raw, err := encodeCommand(command)
 		c.Assert(err, qt.IsNil)
@@ -65,9 +66,9 @@
 	c.Check(versions, qt.DeepEquals, []uint64{10})
 }
 
-// TestRestartHandsOutTheNewest holds that a source that starts hands out what its log holds
-// and not the state of the snapshot before it: daemons would fetch both, and a source of an
-// eighth of a processor would take 0.1 s for the first.
+// TestRestartHandsOutTheNewest checks that a starting source publishes the state at the end
+// of its log and not the state of the snapshot before it. Daemons would otherwise fetch
+// both, and a source with an eighth of a CPU would spend 0.1 s on the first.
 func TestRestartHandsOutTheNewest(t *testing.T) {
 	c := qt.New(t)
 	cl := newTestCluster(1, 8)
@@ -87,33 +88,33 @@
 	c.Check(versions[len(versions)-1], qt.Equals, uint64(11))
 }
 
-// TestStaleRevisionIsSentWhole holds that an order made of a manifest that is not the
-// newest any more is turned down by the leader before the log, by every source if it is in
-// the log already, and accepted whole.
+// TestStaleRevisionIsSentWhole checks that a revision with an outdated base is rejected by
+// the leader before it enters the log, and by every source if it is already in the log. The
+// same order is accepted as a complete manifest.
 func TestStaleRevisionIsSentWhole(t *testing.T) {
 	c := qt.New(t)
-	m := builtMachine(t)
-	old := m.basis.Load()
-	c.Assert(applied(t, m, &Order{Manifest: *testManifest("a", 4, "t")}).Code, qt.Equals, result.Accepted)
+	m := newPopulatedMachine(t)
+	old := m.diffBase.Load()
+	c.Assert(mustApplyOrder(t, m, &Order{Manifest: *testManifest("a", 4, "t")}).Code, qt.Equals, result.Accepted)
 	o := &Order{Manifest: *testManifest("a", 5, "u")}
-	stale, err := old.revise(o, time.Unix(6, 0).UTC())
+	stale, err := old.diffCommand(o, time.Unix(6, 0).UTC())
 	c.Assert(err, qt.IsNil)
 	raw, err := encodeCommand(stale)
 	c.Assert(err, qt.IsNil)
 	c.Check(m.Check(raw).Code, qt.Equals, result.RevisionStale)
-	c.Check(appliedCommand(t, m, stale).Code, qt.Equals, result.RevisionStale)
-	whole, err := noBasis.revise(o, time.Unix(6, 0).UTC())
+	c.Check(mustApplyCommand(t, m, stale).Code, qt.Equals, result.RevisionStale)
+	whole, err := emptyDiffBase.diffCommand(o, time.Unix(6, 0).UTC())
 	c.Assert(err, qt.IsNil)
-	c.Check(appliedCommand(t, m, whole).Code, qt.Equals, result.Accepted)
-	c.Check(appliedCommand(t, m, stale).Code, qt.Equals, result.AlreadyAccepted)
+	c.Check(mustApplyCommand(t, m, whole).Code, qt.Equals, result.Accepted)
+	c.Check(mustApplyCommand(t, m, stale).Code, qt.Equals, result.AlreadyAccepted)
 }
 
-// TestWrongRevisionStopsNobody holds that a revision whose result is not what it announces
-// is turned down by the leader, and that a source which finds it in the log stops with a
-// code instead of going on with another state than the others.
+// TestWrongRevisionStopsNobody checks that the leader rejects a revision whose result does
+// not match its checksum. A source that finds one in its log stops with an error code
+// instead of diverging from the other sources.
 func TestWrongRevisionStopsNobody(t *testing.T) {
 	c := qt.New(t)
-	spoil := map[string]func(*change){
+	corruptions := map[string]func(*change){
 		"sum":   func(ch *change) { ch.Revision.Sum++ },
 		"cut":   func(ch *change) { ch.Revision.Changes = ch.Revision.Changes[1:] },
 		"mesh":  func(ch *change) { ch.Revision.Changes[0].Key.Mesh = "b" },
@@ -121,15 +122,15 @@
 		"text":  func(ch *change) { ch.Text.Base++ },
 		"short": func(ch *change) { ch.Text.Size++ },
 	}
-	for name, do := range spoil {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
-			m := builtMachine(t)
+			m := newPopulatedMachine(t)
 			version, hash := m.state.Version, m.state.Hash()
-			command, err := m.basis.Load().revise(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
+			command, err := m.diffBase.Load().diffCommand(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
 			c.Assert(err, qt.IsNil)
 			ch, err := decodeChange(command.Change)
 			c.Assert(err, qt.IsNil)
-			do(ch)
+			corrupt(ch)
 			command.Change, err = ch.encode()
 			c.Assert(err, qt.IsNil)
 			raw, err := encodeCommand(command)
@@ -144,12 +145,12 @@
 	}
 }
 
-// TestTextOfAnotherHashStaysOut holds that the leader turns down a text whose hash is not the
-// one announced: every source would take it in and fail at its next snapshot.
+// TestTextOfAnotherHashStaysOut checks that the leader rejects a text that does not match its
+// hash. Otherwise every source would apply it and fail at its next snapshot.
 func TestTextOfAnotherHashStaysOut(t *testing.T) {
 	c := qt.New(t)
-	m := builtMachine(t)
-	command, err := m.basis.Load().revise(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
+	m := newPopulatedMachine(t)
+	command, err := m.diffBase.Load().diffCommand(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
 	c.Assert(err, qt.IsNil)
 	ch, err := decodeChange(command.Change)
 	c.Assert(err, qt.IsNil)
@@ -163,43 +164,44 @@
 	c.Check(refused.Code, qt.Equals, result.ManifestInvalid)
 }
 
-// TestRevisionsGiveWhatManifestsGive draws orders of two meshes, as revisions of the newest
-// or of an older manifest, whole, or as entries of the release before, and holds the state,
-// the route index and the texts against those of a machine that was given whole manifests.
+// TestRevisionsGiveWhatManifestsGive applies random orders of two meshes, encoded as
+// revisions of the newest or of an older manifest, as complete manifests, or in the format
+// of the previous release. It compares the state, the route index and the texts with those of
+// a state machine that is given complete manifests only.
 func TestRevisionsGiveWhatManifestsGive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := newMachine(logr.Discard(), func(*fleet.State) {})
-		b := newMachine(logr.Discard(), func(*fleet.State) {})
-		bases := []*basis{noBasis}
+		a := newStateMachine(logr.Discard(), func(*fleet.State) {})
+		b := newStateMachine(logr.Discard(), func(*fleet.State) {})
+		bases := []*diffBase{emptyDiffBase}
 		for version := range rapid.IntRange(1, 25).Draw(t, "orders") {
 			o := drawOrder(t, uint64(version+1))
-			how := rapid.SampledFrom(append([]*basis{nil, a.basis.Load(), a.basis.Load(), a.basis.Load()}, bases...)).Draw(t, "basis")
+			base := rapid.SampledFrom(append([]*diffBase{nil, a.diffBase.Load(), a.diffBase.Load(), a.diffBase.Load()}, bases...)).Draw(t, "basis")
 			whole := Command{Manifest: o.Manifest, Submitted: time.Unix(5, 0).UTC(), Text: o.Text}
 			command := whole
-			if how != nil {
+			if base != nil {
 				var err error
-				if command, err = how.revise(o, time.Unix(5, 0).UTC()); err != nil {
+				if command, err = base.diffCommand(o, time.Unix(5, 0).UTC()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			got := applyDrawn(t, a, command)
+			got := applyCommand(t, a, command)
 			if got.Code == result.RevisionStale {
-				if how == noBasis || how == a.basis.Load() {
+				if base == emptyDiffBase || base == a.diffBase.Load() {
 					t.Fatalf("stale: %+v", got)
 				}
-				got = applyDrawn(t, a, whole)
+				got = applyCommand(t, a, whole)
 			}
-			want := applyDrawn(t, b, whole)
+			want := applyCommand(t, b, whole)
 			if got.Code != want.Code || got.Fleet != want.Fleet || got.Detail != want.Detail {
 				t.Fatalf("answered %+v, want %+v", got, want)
 			}
-			bases = append(bases, a.basis.Load())
+			bases = append(bases, a.diffBase.Load())
 			compareMachines(t, a, b)
 		}
 	})
 }
 
-// drawOrder draws a manifest whose routes may be those of the other mesh.
+// drawOrder draws an order whose routes may conflict with those of the other mesh.
 func drawOrder(t *rapid.T, version uint64) *Order {
 	m := manifest.Manifest{
 		Mesh: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "mesh"), Version: version,
@@ -222,7 +224,7 @@
 	return o
 }
 
-func applyDrawn(t *rapid.T, m *machine, c Command) Answer {
+func applyCommand(t *rapid.T, m *stateMachine, c Command) Answer {
 	raw, err := encodeCommand(c)
 	if err != nil {
 		t.Fatal(err)
@@ -231,10 +233,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return o.finish()
+	return o.packedAnswer()
 }
 
-func compareMachines(t *rapid.T, a, b *machine) {
+func compareMachines(t *rapid.T, a, b *stateMachine) {
 	if a.state.Hash() != b.state.Hash() || a.state.Version != b.state.Version {
 		t.Fatalf("states differ: %d %x, %d %x", a.state.Version, a.state.Hash(), b.state.Version, b.state.Hash())
 	}
@@ -251,20 +253,20 @@
 		}
 	}
 	for _, mesh := range []string{"a", "b"} {
-		textA, errA := documentOf(a.texts[mesh]).Bytes()
-		textB, errB := documentOf(b.texts[mesh]).Bytes()
+		textA, errA := documentOrEmpty(a.texts[mesh]).Bytes()
+		textB, errB := documentOrEmpty(b.texts[mesh]).Bytes()
 		if errA != nil || errB != nil || string(textA) != string(textB) {
 			t.Fatalf("texts differ: %q %v, %q %v", textA, errA, textB, errB)
 		}
 	}
 }
 
-// FuzzEntry looks for an entry of the log that a source does not survive, or that changes
-// anything without being accepted.
+// FuzzEntry checks that arbitrary log entries do not cause a panic, that Apply fails only
+// for entries that Check rejects, and that only accepted entries change the state.
 func FuzzEntry(f *testing.F) {
-	m := builtMachine(f)
-	for _, b := range []*basis{m.basis.Load(), noBasis} {
-		command, err := b.revise(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
+	m := newPopulatedMachine(f)
+	for _, b := range []*diffBase{m.diffBase.Load(), emptyDiffBase} {
+		command, err := b.diffCommand(&Order{Manifest: *testManifest("a", 5, "u"), Text: fleet.Pack([]byte("text"))}, time.Unix(6, 0))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -274,56 +276,57 @@
 		}
 		f.Add(raw)
 	}
-	raw, err := encodeCommand(wholeCommand(testManifest("a", 5, "u"), "text"))
+	raw, err := encodeCommand(fullManifestCommand(testManifest("a", 5, "u"), "text"))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m := builtMachine(t)
+		m := newPopulatedMachine(t)
 		version, hash := m.state.Version, m.state.Hash()
 		refused := m.Check(raw)
 		answer, err := m.Apply(9, 1, raw)
 		if refused == nil && err != nil {
-			t.Fatalf("the leader lets in what stops a source: %v", err)
+			t.Fatalf("Check accepted an entry that Apply failed on: %v", err)
 		}
 		if (err != nil || answer.Code != result.Accepted) && (m.state.Version != version || m.state.Hash() != hash) {
-			t.Fatalf("changed by what was not accepted: %+v, %v", answer, err)
+			t.Fatalf("an entry that was not accepted changed the state: %+v, %v", answer, err)
 		}
-		// What the leader turns down never enters the log.
+		// Entries rejected by the leader never enter the log.
 		if _, err := m.Snapshot(); err != nil && refused == nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// BenchmarkEntry applies the entry of one changed route at several sizes.
+// BenchmarkEntry measures applying an entry with one changed route, for manifests of
+// several sizes.
 func BenchmarkEntry(b *testing.B) {
 	for _, routes := range []int{400, 4000, 16000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
 			const entries = 200
 			raws := make([][]byte, entries)
-			build := newMachine(logr.Discard(), func(*fleet.State) {})
-			applied(b, build, largeOrder(1, routes))
+			build := newStateMachine(logr.Discard(), func(*fleet.State) {})
+			mustApplyOrder(b, build, largeOrder(1, routes))
 			for i := range raws {
-				command, err := build.basis.Load().revise(largeOrder(uint64(i+2), routes), time.Unix(5, 0).UTC())
+				command, err := build.diffBase.Load().diffCommand(largeOrder(uint64(i+2), routes), time.Unix(5, 0).UTC())
 				if err != nil {
 					b.Fatal(err)
 				}
 				if raws[i], err = encodeCommand(command); err != nil {
 					b.Fatal(err)
 				}
-				appliedCommand(b, build, command)
+				mustApplyCommand(b, build, command)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			size := 0
-			var m *machine
+			var m *stateMachine
 			for i := range b.N {
 				if i%entries == 0 {
 					b.StopTimer()
-					m = newMachine(logr.Discard(), func(*fleet.State) {})
-					applied(b, m, largeOrder(1, routes))
+					m = newStateMachine(logr.Discard(), func(*fleet.State) {})
+					mustApplyOrder(b, m, largeOrder(1, routes))
 					b.StartTimer()
 				}
 				raw := raws[i%entries]
--- a/internal/process/source/rollout.go
+++ b/internal/process/source/rollout.go
@@ -8,37 +8,39 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// The bounds of an order for a roll-out.
+// Limits of a roll-out order.
 const (
-	// MinWithin and MaxWithin bound the time in which a roll-out is to be decided.
+	// MinWithin and MaxWithin bound the time limit of a roll-out.
 	MinWithin = time.Second
 	MaxWithin = 6 * time.Hour
-	// maxVersionName is the longest name of a software version, in bytes.
+	// maxVersionName is the maximum length of the name of a software version, in bytes.
 	maxVersionName = 128
-	// resendWithin is how long after the time limit of a roll-out the same order is taken
-	// for a resend of it, and not for another try.
-	resendWithin = 10 * time.Second
+	// resendWindow is how long after the time limit of a rolled-back roll-out an identical
+	// order is still treated as a resend and not as a new attempt.
+	resendWindow = 10 * time.Second
 )
 
-// ServiceName names a service of a mesh.
+// ServiceName identifies a service of a mesh.
 type ServiceName struct {
 	Mesh    string `cbor:"1,keyasint" json:"mesh"`
 	Service string `cbor:"2,keyasint" json:"service"`
 }
 
-// RolloutOrder asks that another software version takes over a service.
+// RolloutOrder requests the roll-out of another software version of a service.
 type RolloutOrder struct {
 	ServiceName
-	// Target is the software version that is to serve.
+	// Target is the software version to roll out.
 	Target string
-	// Within is the time in which that is to be decided, MinWithin to MaxWithin.
+	// Within is the time limit for completing the roll-out or rolling it back, from
+	// MinWithin to MaxWithin.
 	Within time.Duration
-	// Abort rolls back the roll-out that runs instead; Target and Within are not read.
+	// Abort requests that the running roll-out is rolled back; Target and Within are
+	// ignored.
 	Abort bool
 }
 
-// check returns what is wrong with an order on its own, or nil.
-func (o *RolloutOrder) check() *result.Error {
+// validate checks the fields of the order. It returns nil if they are valid.
+func (o *RolloutOrder) validate() *result.Error {
 	switch {
 	case o.Service == "":
 		return result.Errorf(result.RolloutInvalid, "service: is required")
@@ -52,30 +54,30 @@
 	return nil
 }
 
-// RolloutStep is what the leader decides of a roll-out.
+// RolloutStep is a state transition of a roll-out decided by the leader.
 type RolloutStep struct {
 	ServiceName
-	// Number is that of the roll-out; 0 admits the first version of a service.
+	// Number is the number of the roll-out; 0 sets the initial version of a service.
 	Number uint64
-	// Version is set with Number 0.
+	// Version is the initial version; set only if Number is 0.
 	Version string
 	Stage   fleet.Stage
 	Servers int
 	Why     string
 }
 
-// The acts of an entry of formatRollout.
+// Actions of a formatRollout entry.
 const (
-	actOrder = iota + 1
-	actAbort
-	actStep
-	actRead
+	actionOrder = iota + 1
+	actionAbort
+	actionStep
+	actionRead
 )
 
-// rolloutEntry is the part of a log entry that is about a roll-out. Its fields are those of
+// rolloutEntry is the payload of a formatRollout entry. Its fields correspond to those of
 // RolloutOrder and RolloutStep.
 type rolloutEntry struct {
-	Act     uint8         `cbor:"1,keyasint"`
+	Action  uint8         `cbor:"1,keyasint"`
 	Name    ServiceName   `cbor:"2,keyasint"`
 	Target  string        `cbor:"3,keyasint,omitempty"`
 	Within  time.Duration `cbor:"4,keyasint,omitempty"`
@@ -86,55 +88,56 @@
 	Why     string        `cbor:"9,keyasint,omitempty"`
 }
 
-// OrderRollout proposes a roll-out, or its end, and waits for the commit until ctx ends.
+// OrderRollout proposes to start or abort a roll-out, and waits for the commit until ctx is
+// done.
 func (s *Source) OrderRollout(ctx context.Context, o *RolloutOrder) (Answer, error) {
-	if refused := o.check(); refused != nil {
+	if refused := o.validate(); refused != nil {
 		return Answer{Code: refused.Code, Detail: refused.Detail}, nil
 	}
-	entry := rolloutEntry{Act: actOrder, Name: o.ServiceName, Target: o.Target, Within: o.Within}
+	entry := rolloutEntry{Action: actionOrder, Name: o.ServiceName, Target: o.Target, Within: o.Within}
 	if o.Abort {
-		entry = rolloutEntry{Act: actAbort, Name: o.ServiceName}
+		entry = rolloutEntry{Action: actionAbort, Name: o.ServiceName}
 	}
 	return s.proposeRollout(ctx, entry)
 }
 
-// StepRollout proposes what the leader decided.
+// StepRollout proposes a state transition decided by the leader.
 func (s *Source) StepRollout(ctx context.Context, step RolloutStep) (Answer, error) {
 	return s.proposeRollout(ctx, rolloutEntry{
-		Act: actStep, Name: step.ServiceName, Number: step.Number, Version: step.Version,
+		Action: actionStep, Name: step.ServiceName, Number: step.Number, Version: step.Version,
 		Stage: step.Stage, Servers: step.Servers, Why: step.Why,
 	})
 }
 
-// ReadRollout returns the newest roll-out of a service. It goes through the log, as Read
-// does, so that no answer is older than one before it.
+// ReadRollout returns the newest roll-out of a service. Like Read, it is committed through
+// the log, so that successive reads never go back in time.
 func (s *Source) ReadRollout(ctx context.Context, name ServiceName) (Answer, error) {
-	return s.proposeRollout(ctx, rolloutEntry{Act: actRead, Name: name})
+	return s.proposeRollout(ctx, rolloutEntry{Action: actionRead, Name: name})
 }
 
 func (s *Source) proposeRollout(ctx context.Context, entry rolloutEntry) (Answer, error) {
 	return s.propose(ctx, Command{Format: formatRollout, Submitted: time.Now().UTC(), Rollout: &entry})
 }
 
-// State returns the newest state that is applied here; any goroutine may ask.
-func (s *Source) State() *fleet.State { return s.machine.basis.Load().state }
+// State returns the newest state applied by this source. It is safe for concurrent use.
+func (s *Source) State() *fleet.State { return s.machine.diffBase.Load().state }
 
-// applyRollout decides one entry about a roll-out. Refusals change nothing.
-func (m *machine) applyRollout(e *rolloutEntry, submitted time.Time) Answer {
-	now := m.state.Rollout(e.Name.Mesh, e.Name.Service)
+// applyRollout applies one rolloutEntry, or rejects it without changing the state.
+func (m *stateMachine) applyRollout(e *rolloutEntry, submitted time.Time) Answer {
+	current := m.state.Rollout(e.Name.Mesh, e.Name.Service)
 	var next *fleet.Rollout
 	var refused Answer
-	switch e.Act {
-	case actRead:
-		return m.readRollout(e.Name, now)
-	case actOrder:
-		next, refused = m.beginRollout(e, now, submitted)
-	case actAbort:
-		next, refused = abortRollout(now, submitted)
-	case actStep:
-		next, refused = m.stepRollout(e, now, submitted)
+	switch e.Action {
+	case actionRead:
+		return m.readRollout(e.Name, current)
+	case actionOrder:
+		next, refused = m.startRollout(e, current, submitted)
+	case actionAbort:
+		next, refused = abortRollout(current, submitted)
+	case actionStep:
+		next, refused = m.advanceRollout(e, current, submitted)
 	default:
-		return Answer{Code: result.RolloutInvalid, Detail: "unknown act"}
+		return Answer{Code: result.RolloutInvalid, Detail: "unknown roll-out action"}
 	}
 	if next == nil {
 		return refused
@@ -143,80 +146,83 @@
 	if err != nil {
 		return Answer{Code: result.RolloutInvalid, Detail: err.Error()}
 	}
-	m.state, m.changed = state, true
-	m.basis.Store(&basis{state: m.state, texts: m.texts})
+	m.state, m.unpublished = state, true
+	m.diffBase.Store(&diffBase{state: m.state, texts: m.texts})
 	m.log.Info("roll-out", "mesh", e.Name.Mesh, "service", e.Name.Service, "number", next.Number, "version", next.Version,
 		"target", next.Target, "stage", next.Stage.String(), "servers", next.Servers, "within", next.Within.String(), "why", next.Why, "fleet", state.Version)
 	return Answer{Code: result.Accepted, Fleet: state.Version, Rollout: next}
 }
 
-func (m *machine) readRollout(name ServiceName, now *fleet.Rollout) Answer {
-	if now == nil || now.Number == 0 {
-		return Answer{Code: result.UnknownResource, Fleet: m.state.Version, Detail: "service " + name.Service + " had no roll-out"}
+func (m *stateMachine) readRollout(name ServiceName, current *fleet.Rollout) Answer {
+	if current == nil || current.Number == 0 {
+		return Answer{Code: result.UnknownResource, Fleet: m.state.Version, Detail: "service " + name.Service + " has had no roll-out"}
 	}
-	return Answer{Code: result.Answered, Fleet: m.state.Version, Rollout: now}
+	return Answer{Code: result.Answered, Fleet: m.state.Version, Rollout: current}
 }
 
-// beginRollout starts a roll-out, or answers an order that was taken before.
-func (m *machine) beginRollout(e *rolloutEntry, now *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
+// startRollout starts a roll-out, or acknowledges an order that was accepted before.
+func (m *stateMachine) startRollout(e *rolloutEntry, current *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
 	if !m.state.HasService(e.Name.Mesh, e.Name.Service) {
 		return nil, Answer{Code: result.RolloutInvalid, Detail: "service: mesh " + e.Name.Mesh + " has no service " + e.Name.Service}
 	}
-	if now == nil {
-		return nil, Answer{Code: result.RolloutUnsettled, Detail: "no server of " + e.Name.Service + " is known, or servers.rollouts is not set"}
+	if current == nil {
+		return nil, Answer{Code: result.RolloutUnsettled, Detail: "no backend server of service " + e.Name.Service + " is known, or the setting servers.rollouts is not enabled"}
 	}
-	if sameOrder(e, now, submitted) {
-		return nil, Answer{Code: result.AlreadyAccepted, Fleet: m.state.Version, Rollout: now}
+	if isResend(e, current, submitted) {
+		return nil, Answer{Code: result.AlreadyAccepted, Fleet: m.state.Version, Rollout: current}
 	}
-	if now.Stage.Running() {
-		return nil, Answer{Code: result.RolloutRunning, Rollout: now, Detail: "the roll-out to version " + now.Target + " is not decided yet"}
+	if current.Stage.Running() {
+		return nil, Answer{Code: result.RolloutRunning, Rollout: current, Detail: "the roll-out to version " + current.Target + " is still running"}
 	}
-	if e.Target == now.Serving() {
-		return nil, Answer{Code: result.RolloutInvalid, Rollout: now, Detail: "target version: " + e.Target + " serves already"}
+	if e.Target == current.Serving() {
+		return nil, Answer{Code: result.RolloutInvalid, Rollout: current, Detail: "target version: " + e.Target + " is already serving"}
 	}
-	return now.Next(e.Target, e.Within, submitted), Answer{}
+	return current.Next(e.Target, e.Within, submitted), Answer{}
 }
 
-// sameOrder tells a resend from another try: what was completed needs no other try, and
-// what was rolled back may be tried again after its time.
-func sameOrder(e *rolloutEntry, now *fleet.Rollout, submitted time.Time) bool {
-	if now.Number == 0 || e.Target != now.Target || e.Within != now.Within {
+// isResend distinguishes a resend of the newest order from a new attempt. A completed
+// roll-out needs no new attempt. A roll-out that was rolled back may be attempted again
+// once its time limit and resendWindow have passed.
+func isResend(e *rolloutEntry, current *fleet.Rollout, submitted time.Time) bool {
+	if current.Number == 0 || e.Target != current.Target || e.Within != current.Within {
 		return false
 	}
-	return now.Stage != fleet.RolledBack || submitted.Sub(now.Ordered) < now.Within+resendWithin
+	return current.Stage != fleet.RolledBack || submitted.Sub(current.Ordered) < current.Within+resendWindow
 }
 
-// abortRollout rolls back what runs. What was rolled back already is acknowledged.
-func abortRollout(now *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
-	if now == nil || !now.Stage.Running() {
-		if now != nil && now.Stage == fleet.RolledBack {
-			return nil, Answer{Code: result.AlreadyAccepted, Rollout: now}
+// abortRollout rolls back the running roll-out. If it was already rolled back, the order is
+// acknowledged.
+func abortRollout(current *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
+	if current == nil || !current.Stage.Running() {
+		if current != nil && current.Stage == fleet.RolledBack {
+			return nil, Answer{Code: result.AlreadyAccepted, Rollout: current}
 		}
-		return nil, Answer{Code: result.RolloutInvalid, Rollout: now, Detail: "no roll-out runs that could be aborted"}
+		return nil, Answer{Code: result.RolloutInvalid, Rollout: current, Detail: "no running roll-out to abort"}
 	}
-	next, err := now.Advance(fleet.RolledBack, 0, "aborted by an operator", submitted)
+	// The reason is part of the replicated state: all releases must write the same text.
+	next, err := current.Advance(fleet.RolledBack, 0, "aborted by an operator", submitted)
 	if err != nil {
-		return nil, Answer{Code: result.RolloutInvalid, Rollout: now, Detail: err.Error()}
+		return nil, Answer{Code: result.RolloutInvalid, Rollout: current, Detail: err.Error()}
 	}
 	return next, Answer{}
 }
 
-// stepRollout takes a decision of the leader in. One about another roll-out than the newest,
-// or that does not follow, came too late.
-func (m *machine) stepRollout(e *rolloutEntry, now *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
-	late := Answer{Code: result.RolloutRunning, Rollout: now, Detail: "the roll-out is in another stage by now"}
+// advanceRollout applies a state transition decided by the leader. It is stale, and
+// rejected, if it is not for the newest roll-out or does not follow from its stage.
+func (m *stateMachine) advanceRollout(e *rolloutEntry, current *fleet.Rollout, submitted time.Time) (*fleet.Rollout, Answer) {
+	stale := Answer{Code: result.RolloutRunning, Rollout: current, Detail: "the roll-out has moved to another stage"}
 	if e.Number == 0 {
-		if now != nil {
-			return nil, late
+		if current != nil {
+			return nil, stale
 		}
 		return &fleet.Rollout{Version: e.Version, Ordered: submitted, Why: e.Why}, Answer{}
 	}
-	if now == nil || now.Number != e.Number {
-		return nil, late
+	if current == nil || current.Number != e.Number {
+		return nil, stale
 	}
-	next, err := now.Advance(e.Stage, e.Servers, e.Why, submitted)
+	next, err := current.Advance(e.Stage, e.Servers, e.Why, submitted)
 	if err != nil {
-		return nil, late
+		return nil, stale
 	}
 	return next, Answer{}
 }
--- a/internal/process/source/rollout_test.go
+++ b/internal/process/source/rollout_test.go
@@ -14,17 +14,17 @@
 
 var (
 	rolloutStart = time.Unix(1_000_000, 0).UTC()
-	rolledOut    = ServiceName{Mesh: "m", Service: "s"}
+	testService  = ServiceName{Mesh: "m", Service: "s"}
 )
 
-// rolloutLog applies entries about roll-outs as the log does.
+// rolloutLog applies roll-out entries to a state machine.
 type rolloutLog struct {
 	c *qt.C
-	m *machine
+	m *stateMachine
 }
 
 func newRolloutLog(c *qt.C) *rolloutLog {
-	l := &rolloutLog{c: c, m: newMachine(logr.Discard(), func(*fleet.State) {})}
+	l := &rolloutLog{c: c, m: newStateMachine(logr.Discard(), func(*fleet.State) {})}
 	raw, err := encodeCommand(Command{Manifest: *testManifest("m", 1, "s"), Submitted: rolloutStart})
 	c.Assert(err, qt.IsNil)
 	o, err := l.m.Apply(1, 1, raw)
@@ -34,7 +34,7 @@
 }
 
 func (l *rolloutLog) apply(after time.Duration, e rolloutEntry) Answer {
-	e.Name = rolledOut
+	e.Name = testService
 	raw, err := encodeCommand(Command{Format: formatRollout, Submitted: rolloutStart.Add(after), Rollout: &e})
 	l.c.Assert(err, qt.IsNil)
 	l.c.Assert(l.m.Check(raw) == nil, qt.IsTrue)
@@ -44,36 +44,36 @@
 }
 
 func (l *rolloutLog) order(after time.Duration, target string) Answer {
-	return l.apply(after, rolloutEntry{Act: actOrder, Target: target, Within: 12 * time.Second})
+	return l.apply(after, rolloutEntry{Action: actionOrder, Target: target, Within: 12 * time.Second})
 }
 
 func (l *rolloutLog) step(number uint64, stage fleet.Stage) Answer {
-	return l.apply(time.Second, rolloutEntry{Act: actStep, Number: number, Stage: stage, Why: "test"})
+	return l.apply(time.Second, rolloutEntry{Action: actionStep, Number: number, Stage: stage, Why: "test"})
 }
 
-func (l *rolloutLog) admit(version string) Answer {
-	return l.apply(0, rolloutEntry{Act: actStep, Version: version})
+func (l *rolloutLog) setInitialVersion(version string) Answer {
+	return l.apply(0, rolloutEntry{Action: actionStep, Version: version})
 }
 
 func (l *rolloutLog) read() *fleet.Rollout {
-	return l.apply(time.Second, rolloutEntry{Act: actRead}).Rollout
+	return l.apply(time.Second, rolloutEntry{Action: actionRead}).Rollout
 }
 
-// TestRolloutOrders follows the answers to orders through a roll-out that is completed and
-// one that is rolled back.
+// TestRolloutOrders checks the answers to orders during a roll-out that is completed and
+// during one that is rolled back.
 func TestRolloutOrders(t *testing.T) {
 	c := qt.New(t)
 	l := newRolloutLog(c)
 	c.Check(l.order(0, "v2").Code, qt.Equals, result.RolloutUnsettled)
-	c.Check(l.admit("v1").Code, qt.Equals, result.Accepted)
-	c.Check(l.admit("v9").Code, qt.Equals, result.RolloutRunning)
-	c.Check(l.apply(0, rolloutEntry{Act: actRead}).Code, qt.Equals, result.UnknownResource)
+	c.Check(l.setInitialVersion("v1").Code, qt.Equals, result.Accepted)
+	c.Check(l.setInitialVersion("v9").Code, qt.Equals, result.RolloutRunning)
+	c.Check(l.apply(0, rolloutEntry{Action: actionRead}).Code, qt.Equals, result.UnknownResource)
 	c.Check(l.order(0, "v1").Code, qt.Equals, result.RolloutInvalid)
 
 	c.Check(l.order(0, "v2").Code, qt.Equals, result.Accepted)
 	c.Check(l.order(time.Second, "v2").Code, qt.Equals, result.AlreadyAccepted)
 	c.Check(l.order(time.Second, "v3").Code, qt.Equals, result.RolloutRunning)
-	c.Check(l.step(1, fleet.Handover).Code, qt.Equals, result.RolloutRunning, qt.Commentf("a stage left out"))
+	c.Check(l.step(1, fleet.Handover).Code, qt.Equals, result.RolloutRunning, qt.Commentf("a skipped stage"))
 	c.Check(l.step(7, fleet.Proof).Code, qt.Equals, result.RolloutRunning, qt.Commentf("another roll-out"))
 	for _, stage := range []fleet.Stage{fleet.Canary, fleet.Proof, fleet.Handover, fleet.Completed} {
 		c.Check(l.step(1, stage).Code, qt.Equals, result.Accepted)
@@ -86,9 +86,9 @@
 	c.Check(l.step(2, fleet.RolledBack).Code, qt.Equals, result.Accepted)
 	c.Check(l.order(5*time.Second, "v3").Code, qt.Equals, result.AlreadyAccepted, qt.Commentf("a resend"))
 	c.Check(l.read().Stage, qt.Equals, fleet.RolledBack)
-	c.Check(l.order(time.Minute, "v3").Code, qt.Equals, result.Accepted, qt.Commentf("another try"))
-	c.Check(l.apply(time.Minute, rolloutEntry{Act: actAbort}).Code, qt.Equals, result.Accepted)
-	c.Check(l.apply(time.Minute, rolloutEntry{Act: actAbort}).Code, qt.Equals, result.AlreadyAccepted)
+	c.Check(l.order(time.Minute, "v3").Code, qt.Equals, result.Accepted, qt.Commentf("a new attempt"))
+	c.Check(l.apply(time.Minute, rolloutEntry{Action: actionAbort}).Code, qt.Equals, result.Accepted)
+	c.Check(l.apply(time.Minute, rolloutEntry{Action: actionAbort}).Code, qt.Equals, result.AlreadyAccepted)
 	r := l.read()
 	c.Check(r.Stage, qt.Equals, fleet.RolledBack)
 	c.Check(r.Number, qt.Equals, uint64(3))
@@ -96,9 +96,9 @@
 	c.Check(r.Past[0].Stage, qt.Equals, fleet.Completed)
 }
 
-// TestRolloutOrderFaults refuses orders that are wrong on their own, before they reach the log.
+// TestRolloutOrderFaults checks that invalid orders are rejected before they reach the log.
 func TestRolloutOrderFaults(t *testing.T) {
-	good := RolloutOrder{ServiceName: rolledOut, Target: "v2", Within: 12 * time.Second}
+	good := RolloutOrder{ServiceName: testService, Target: "v2", Within: 12 * time.Second}
 	for name, change := range map[string]func(*RolloutOrder){
 		"service": func(o *RolloutOrder) { o.Service = "" },
 		"target":  func(o *RolloutOrder) { o.Target = "" },
@@ -109,21 +109,22 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			o := good
-			c.Assert(o.check() == nil, qt.IsTrue)
+			c.Assert(o.validate() == nil, qt.IsTrue)
 			change(&o)
-			c.Check(o.check().Code, qt.Equals, result.RolloutInvalid)
+			c.Check(o.validate().Code, qt.Equals, result.RolloutInvalid)
 		})
 	}
 }
 
-// TestRolloutKept keeps a roll-out in every stage over a snapshot, over manifests of its mesh,
-// whole and as revisions, and in a format that older releases refuse.
+// TestRolloutKept checks that a roll-out in any stage is preserved by a snapshot and by new
+// manifests of its mesh, complete ones and revisions. Snapshots with roll-outs have a format
+// that older releases reject.
 func TestRolloutKept(t *testing.T) {
 	stages := []fleet.Stage{fleet.Canary, fleet.Proof, fleet.Handover, fleet.Completed}
 	for i, stage := range stages {
 		c := qt.New(t)
 		l := newRolloutLog(c)
-		l.admit("v1")
+		l.setInitialVersion("v1")
 		l.order(0, "v2")
 		for _, s := range stages[:i+1] {
 			l.step(1, s)
@@ -131,17 +132,17 @@
 		want := l.read()
 		raw, err := l.m.Snapshot()
 		c.Assert(err, qt.IsNil)
-		other := newMachine(logr.Discard(), func(*fleet.State) {})
+		other := newStateMachine(logr.Discard(), func(*fleet.State) {})
 		c.Assert(other.Restore(raw), qt.IsNil)
 		c.Check(other.state.Rollout("m", "s"), qt.DeepEquals, want)
 		c.Check(other.state.Hash(), qt.Equals, l.m.state.Hash())
 
 		for version, whole := range map[uint64]bool{2: false, 3: true} {
-			basis := l.m.basis.Load()
+			base := l.m.diffBase.Load()
 			if whole {
-				basis = noBasis
+				base = emptyDiffBase
 			}
-			cmd, err := basis.revise(&Order{Manifest: *testManifest("m", version, "s")}, rolloutStart)
+			cmd, err := base.diffCommand(&Order{Manifest: *testManifest("m", version, "s")}, rolloutStart)
 			c.Assert(err, qt.IsNil)
 			raw, err := encodeCommand(cmd)
 			c.Assert(err, qt.IsNil)
@@ -157,8 +158,8 @@
 	}
 }
 
-// TestRolloutSessions applies random entries: stages only follow one another, what is final
-// stays until another order, and every copy of the log ends in the same state.
+// TestRolloutSessions applies random entries. It checks that a final stage changes only by
+// another order, and that every copy of the log ends in the same state.
 func TestRolloutSessions(t *testing.T) {
 	c := qt.New(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -166,7 +167,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "entries") {
 			before := l.m.state.Rollout("m", "s")
 			e := rolloutEntry{
-				Act:    uint8(rapid.IntRange(0, 5).Draw(t, "act")),
+				Action: uint8(rapid.IntRange(0, 5).Draw(t, "act")),
 				Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
 				Within: rapid.SampledFrom([]time.Duration{5 * time.Second, 12 * time.Second}).Draw(t, "within"),
 				Number: uint64(rapid.IntRange(0, 4).Draw(t, "number")), Version: "v1",
@@ -175,17 +176,17 @@
 			after := time.Duration(rapid.IntRange(0, 60).Draw(t, "after")) * time.Second
 			first, second := l.apply(after, e), copied.apply(after, e)
 			if first.Code != second.Code {
-				t.Fatalf("%v here, %v there", first.Code, second.Code)
+				t.Fatalf("answered %v by the first copy, %v by the second", first.Code, second.Code)
 			}
 			now := l.m.state.Rollout("m", "s")
 			if before != nil && before.Stage.Final() && now.Number == before.Number && now.Stage != before.Stage {
-				t.Fatalf("%s after %s", now.Stage, before.Stage)
+				t.Fatalf("stage %s after the final stage %s", now.Stage, before.Stage)
 			}
 			if now != nil && now.Stage.Running() && (now.Target == now.Version || now.Target == "") {
-				t.Fatalf("a roll-out from %q to %q", now.Version, now.Target)
+				t.Fatalf("invalid roll-out from %q to %q", now.Version, now.Target)
 			}
 			if first.Code != result.Accepted && l.m.state.Hash() != copied.m.state.Hash() {
-				t.Fatal("a refusal changed the state")
+				t.Fatal("a rejected entry changed the state")
 			}
 		}
 		if l.m.state.Hash() != copied.m.state.Hash() || l.m.state.Version != copied.m.state.Version {
--- a/internal/process/source/routes.go
+++ b/internal/process/source/routes.go
@@ -9,33 +9,34 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// routeKey is what two routes must share to compete for a request: the host,
-// "" for any, and the path.
+// routeKey is the host ("" for any) and the path of a route. Two routes can match the
+// same request only if they have the same key.
 type routeKey struct {
 	host, path string
 }
 
-// routeOwner is a route as the index knows it.
+// routeOwner is a route in the index.
 type routeOwner struct {
 	mesh, name string
-	// methods is empty for every method.
+	// methods is empty if the route matches all methods.
 	methods []string
 }
 
-// routeIndex finds the routes of all meshes by host and path.
+// routeIndex indexes the routes of all meshes by host and path.
 type routeIndex map[routeKey][]routeOwner
 
-// routeClash is a route that would take requests of another mesh.
-type routeClash struct {
-	key   routeKey
-	route string
-	mesh  string
-	other string
+// routeConflict is a conflict between a route and a route of another mesh that matches the
+// same requests.
+type routeConflict struct {
+	key        routeKey
+	route      string
+	otherMesh  string
+	otherRoute string
 }
 
-// String names both routes.
-func (c *routeClash) String() string {
-	return fmt.Sprintf("route %s: host %q path %s belongs to route %s of mesh %s", c.route, c.key.host, c.key.path, c.other, c.mesh)
+// String returns a description that names both routes.
+func (c *routeConflict) String() string {
+	return fmt.Sprintf("route %s: host %q path %s belongs to route %s of mesh %s", c.route, c.key.host, c.key.path, c.otherRoute, c.otherMesh)
 }
 
 func indexRoutes(state *fleet.State) (routeIndex, error) {
@@ -45,103 +46,105 @@
 		if err != nil {
 			return nil, err
 		}
-		index.move(mesh, routeMove{added: placesOf(m)})
+		index.apply(mesh, routeDiff{added: hostedRoutes(m)})
 	}
 	return index, nil
 }
 
-// routePlace is a route with the hosts of its manifest.
-type routePlace struct {
+// hostedRoute is a route together with the hosts of its manifest.
+type hostedRoute struct {
 	hosts []string
 	route *manifest.Route
 }
 
-func (p routePlace) keys() []routeKey {
-	m := manifest.Manifest{Hosts: p.hosts}
+func (h hostedRoute) keys() []routeKey {
+	m := manifest.Manifest{Hosts: h.hosts}
 	var keys []routeKey
-	for _, host := range m.HostsOf(p.route) {
-		keys = append(keys, routeKey{host: strings.ToLower(host), path: p.route.Path})
+	for _, host := range m.HostsOf(h.route) {
+		keys = append(keys, routeKey{host: strings.ToLower(host), path: h.route.Path})
 	}
 	return keys
 }
 
-// routeMove is what a revision changes in the index.
-type routeMove struct{ removed, added []routePlace }
+// routeDiff is the change that a revision makes to the index.
+type routeDiff struct{ removed, added []hostedRoute }
 
-// movedRoutes compares the routes that a revision names before and after it, or all of
-// its mesh where it names all or gives them other hosts.
-func movedRoutes(before, after *fleet.State, r *fleet.Revision) routeMove {
+// diffRoutes returns the index change for a revision. It compares only the routes listed
+// in the revision, or all routes of the mesh if the revision replaces the whole manifest or
+// changes its hosts.
+func diffRoutes(before, after *fleet.State, r *fleet.Revision) routeDiff {
 	header, _ := before.Mesh(r.Mesh)
-	var move routeMove
+	var diff routeDiff
 	if r.Base == 0 || !slices.Equal(header.Hosts, r.Hosts) {
-		move.removed = allRoutes(before, r.Mesh)
-		move.added = allRoutes(after, r.Mesh)
-		return move
+		diff.removed = meshRoutes(before, r.Mesh)
+		diff.added = meshRoutes(after, r.Mesh)
+		return diff
 	}
 	for _, c := range r.Changes {
 		if c.Key.Kind != fleet.KindRoute {
 			continue
 		}
 		if old := before.Route(r.Mesh, c.Key.Name); old != nil {
-			move.removed = append(move.removed, routePlace{header.Hosts, old})
+			diff.removed = append(diff.removed, hostedRoute{header.Hosts, old})
 		}
 		if route := after.Route(r.Mesh, c.Key.Name); route != nil {
-			move.added = append(move.added, routePlace{r.Hosts, route})
+			diff.added = append(diff.added, hostedRoute{r.Hosts, route})
 		}
 	}
-	return move
+	return diff
 }
 
-// allRoutes returns the routes of a mesh that can be read.
-func allRoutes(state *fleet.State, mesh string) []routePlace {
+// meshRoutes returns the routes of a mesh, or nil if its manifest cannot be read.
+func meshRoutes(state *fleet.State, mesh string) []hostedRoute {
 	m, err := state.Manifest(mesh)
 	if err != nil {
 		return nil
 	}
-	return placesOf(m)
+	return hostedRoutes(m)
 }
 
-// placesOf returns the routes of a manifest with its hosts.
-func placesOf(m *manifest.Manifest) []routePlace {
-	places := make([]routePlace, len(m.Routes))
+// hostedRoutes returns the routes of a manifest together with its hosts.
+func hostedRoutes(m *manifest.Manifest) []hostedRoute {
+	routes := make([]hostedRoute, len(m.Routes))
 	for i := range m.Routes {
-		places[i] = routePlace{m.Hosts, &m.Routes[i]}
+		routes[i] = hostedRoute{m.Hosts, &m.Routes[i]}
 	}
-	return places
+	return routes
 }
 
-// move takes routes of a mesh out and puts others in.
-func (x routeIndex) move(mesh string, move routeMove) {
-	for _, p := range move.removed {
-		x.remove(mesh, p)
+// apply removes and adds the routes of a mesh listed in diff.
+func (x routeIndex) apply(mesh string, diff routeDiff) {
+	for _, h := range diff.removed {
+		x.remove(mesh, h)
 	}
-	for _, p := range move.added {
-		x.add(mesh, p)
+	for _, h := range diff.added {
+		x.add(mesh, h)
 	}
 }
 
-func (x routeIndex) add(mesh string, p routePlace) {
-	for _, key := range p.keys() {
-		x[key] = append(x[key], routeOwner{mesh: mesh, name: p.route.Name, methods: p.route.Methods})
+func (x routeIndex) add(mesh string, h hostedRoute) {
+	for _, key := range h.keys() {
+		x[key] = append(x[key], routeOwner{mesh: mesh, name: h.route.Name, methods: h.route.Methods})
 	}
 }
 
-func (x routeIndex) remove(mesh string, p routePlace) {
-	for _, key := range p.keys() {
-		owners := slices.DeleteFunc(x[key], func(o routeOwner) bool { return o.mesh == mesh && o.name == p.route.Name })
+func (x routeIndex) remove(mesh string, h hostedRoute) {
+	for _, key := range h.keys() {
+		owners := slices.DeleteFunc(x[key], func(o routeOwner) bool { return o.mesh == mesh && o.name == h.route.Name })
 		if x[key] = owners; len(owners) == 0 {
 			delete(x, key)
 		}
 	}
 }
 
-// clash returns the first of the routes that another mesh has already, or nil.
-func (x routeIndex) clash(mesh string, routes []routePlace) *routeClash {
-	for _, p := range routes {
-		for _, key := range p.keys() {
+// findConflict returns the first conflict of the routes with a route of another mesh, or
+// nil.
+func (x routeIndex) findConflict(mesh string, routes []hostedRoute) *routeConflict {
+	for _, h := range routes {
+		for _, key := range h.keys() {
 			for _, o := range x[key] {
-				if o.mesh != mesh && overlap(o.methods, p.route.Methods) {
-					return &routeClash{key: key, route: p.route.Name, mesh: o.mesh, other: o.name}
+				if o.mesh != mesh && methodsOverlap(o.methods, h.route.Methods) {
+					return &routeConflict{key: key, route: h.route.Name, otherMesh: o.mesh, otherRoute: o.name}
 				}
 			}
 		}
@@ -149,7 +152,7 @@
 	return nil
 }
 
-func overlap(a, b []string) bool {
+func methodsOverlap(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
 	}
--- a/internal/process/source/series_test.go
+++ b/internal/process/source/series_test.go
@@ -6,27 +6,26 @@
 	"pgregory.net/rapid"
 )
 
-// TestLossesInSeries draws what a fleet of sources meets one after the other and at
-// once: members that are away for longer than it takes to lose their place, places
-// being taken, elections between, all power lost, and two disks lost at any such
-// moment, most often those that hold the newest entry. Disks are lost again only
-// once the last loss is made good.
+// TestLossesInSeries combines successive and simultaneous faults: members stopped for longer
+// than it takes to be replaced, replacements, elections, loss of all power, and the loss of
+// two disks at any of these moments, preferably those that hold the newest entry. Disks are
+// lost again only after the group has recovered from the last loss.
 func TestLossesInSeries(t *testing.T) { rapid.Check(t, lossesInSeries) }
 
 func lossesInSeries(t *rapid.T) {
-	f := &faulty{testCluster: openGrowing(), t: t, versions: map[string]uint64{}}
+	f := &faultTest{testCluster: newGrownCluster(), t: t, versions: map[string]uint64{}}
 	actions := []func(){
 		f.submitSome, f.submitSome, f.submitSome, f.deliverSome, f.deliverSome, f.deliverTo, f.runSome, f.runSome,
-		f.campaign, f.dropSome, f.hold, f.release, f.crashOne, f.startAll, f.away, f.away, f.behind,
-		f.powerLoss, f.loseHolders, f.powerLossWithDisks, f.powerLossWithDisks,
+		f.tickOne, f.dropSome, f.delaySome, f.deliverDelayed, f.crashOne, f.startAll, f.stopOne, f.stopOne, f.isolateSome,
+		f.powerLoss, f.loseNewestHolders, f.powerLossWithDisks, f.powerLossWithDisks,
 	}
-	f.act(10, 80, actions)
-	f.healReplaced()
+	f.runActions(10, 80, actions)
+	f.checkRecoveryAfterRestart()
 }
 
-// away stops a member for about as long as it takes to lose its place.
-func (f *faulty) away() {
-	m := f.pick()
+// stopOne stops a member for about as long as it takes to be replaced.
+func (f *faultTest) stopOne() {
+	m := f.pickMember()
 	f.crash(m.id, 0, false)
 	f.run(replaceAfter + rapid.IntRange(-10, 20).Draw(f.t, "longer"))
 	if m.node == nil && rapid.Bool().Draw(f.t, "back") {
@@ -34,10 +33,10 @@
 	}
 }
 
-// behind keeps one member or two from hearing of what is accepted meanwhile.
-func (f *faulty) behind() {
+// isolateSome isolates one or two members while manifests are submitted.
+func (f *faultTest) isolateSome() {
 	for range rapid.IntRange(1, 2).Draw(f.t, "members") {
-		f.isolate(f.pick().id, true)
+		f.isolate(f.pickMember().id, true)
 	}
 	f.submitSome()
 	f.run(rapid.IntRange(1, 8).Draw(f.t, "rounds"))
@@ -46,12 +45,12 @@
 	}
 }
 
-// madeGood reports whether every disk that was lost is replaced by one that votes
-// or stands by in a group whose voters all run.
-func (f *faulty) madeGood() bool { return f.voting() >= 5 }
+// lossesRepaired reports whether the group has recovered from all disk losses: all of its
+// five voters run and vote.
+func (f *faultTest) lossesRepaired() bool { return f.countVoting() >= 5 }
 
-// powerLoss stops all members at one moment.
-func (f *faulty) powerLoss() {
+// powerLoss stops and restarts all members simultaneously.
+func (f *faultTest) powerLoss() {
 	for _, id := range f.ids {
 		if f.members[id].node != nil {
 			f.crash(id, rapid.IntRange(0, 200).Draw(f.t, "torn"), false)
@@ -61,21 +60,22 @@
 	f.startAll()
 }
 
-// loseHolders loses the disks of two members, those first that have the newest
-// version.
-func (f *faulty) loseHolders() {
-	if !f.madeGood() {
+// loseNewestHolders loses the disks of two members, preferably of those that have the
+// newest version.
+func (f *faultTest) loseNewestHolders() {
+	if !f.lossesRepaired() {
 		return
 	}
-	for _, id := range f.holders() {
+	for _, id := range f.newestHolders() {
 		f.loseDisk(id)
 	}
 }
 
-// holders are two members that hold the newest version; fewer, and others stand in.
-func (f *faulty) holders() []string {
+// newestHolders returns two members that hold the newest version, or others if there are
+// fewer than two.
+func (f *faultTest) newestHolders() []string {
 	var ids, others []string
-	f.up(func(m *testMember) {
+	f.forEachRunning(func(m *testMember) {
 		if m.machine.state.Version == f.newest {
 			ids = append(ids, m.id)
 			return
@@ -86,12 +86,12 @@
 	return ids[:2]
 }
 
-// powerLossWithDisks loses all power, and two disks with it.
-func (f *faulty) powerLossWithDisks() {
-	if !f.madeGood() {
+// powerLossWithDisks stops all members, loses two disks and restarts all members.
+func (f *faultTest) powerLossWithDisks() {
+	if !f.lossesRepaired() {
 		return
 	}
-	lost := f.holders()
+	lost := f.newestHolders()
 	for _, id := range f.ids {
 		if f.members[id].node != nil {
 			f.crash(id, 0, false)
--- a/internal/process/source/source.go
+++ b/internal/process/source/source.go
@@ -1,6 +1,7 @@
-// Package source runs one source: the group that agrees on accepted manifests,
-// and the state machine that builds the fleet's state from them. "Accepted" is
-// answered only after commit.
+// Package source implements the replicated configuration store. A source is one
+// member of a consensus group that replicates accepted manifests and applies
+// them to the state machine holding the fleet state. Clients receive Accepted
+// only after the entry is committed.
 package source
 
 import (
@@ -21,33 +22,35 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Status is what a source tells of itself.
+// Status is the status reported by a source.
 type Status struct {
 	quorum.Status
-	// Version is the fleet version applied here.
+	// Version is the fleet version applied by this source.
 	Version uint64 `json:"version"`
 }
 
-// Source is one running source.
+// Source is a running member of the source group.
 type Source struct {
 	group   *quorum.Group[outcome]
-	machine *machine
+	machine *stateMachine
 	version atomic.Uint64
-	// voters is how many sources are to vote; until growUntil nothing is accepted
-	// by fewer.
-	voters    int
-	growUntil time.Time
+	// voters is the configured number of voters. Orders are rejected while the
+	// group has fewer voters, until formationDeadline.
+	voters            int
+	formationDeadline time.Time
 }
 
-// growTime is how long a source that starts waits for the group to have all its
-// voters: what fewer accept does not outlast the losses that are allowed for. A
-// newcomer is admitted within a second; after that the group makes do.
-const growTime = 3 * time.Second
+// formationTimeout is how long a starting source waits for the group to reach its
+// configured number of voters: an entry accepted by fewer voters would not survive
+// the number of losses the group is designed for. A new member is admitted within
+// a second. After the timeout, the group continues with the voters it has.
+const formationTimeout = 3 * time.Second
 
-// Open reads the data folder. onAccept is called from Run with each new state.
+// Open opens the data folder and returns a source that is ready to run. Run calls
+// onAccept with each new state.
 func Open(cfg quorum.Config, transport quorum.Transport, log logr.Logger, onAccept func(*fleet.State)) (*Source, error) {
-	s := &Source{voters: cfg.Voters, growUntil: time.Now().Add(growTime)}
-	s.machine = newMachine(log, func(state *fleet.State) {
+	s := &Source{voters: cfg.Voters, formationDeadline: time.Now().Add(formationTimeout)}
+	s.machine = newStateMachine(log, func(state *fleet.State) {
 		s.version.Store(state.Version)
 		onAccept(state)
 	})
@@ -59,55 +62,56 @@
 	return s, nil
 }
 
-// Run drives the source until ctx ends.
+// Run runs the source until ctx is done.
 func (s *Source) Run(ctx context.Context) error { return s.group.Run(ctx) }
 
-// Deliver takes in messages of other sources.
+// Deliver processes messages received from other sources.
 func (s *Source) Deliver(messages []replica.Message) { s.group.Deliver(messages) }
 
-// Serve answers a command that another source passed on.
+// Serve handles a command forwarded by another source.
 func (s *Source) Serve(ctx context.Context, data []byte) quorum.Reply {
 	return s.group.Serve(ctx, data)
 }
 
-// Leads returns the term and whether this source leads in it.
+// Leads returns the current term and whether this source is its leader.
 func (s *Source) Leads() (term uint64, leads bool) {
 	status := s.group.Status()
 	return status.Term, status.Role == replica.Leader.String()
 }
 
-// Settled reports whether this source leads and has applied all that was
-// accepted under earlier leaders.
+// Settled reports whether this source is the leader and has applied every entry
+// accepted in earlier terms.
 func (s *Source) Settled() bool { return s.group.Status().Settled }
 
-// Status returns the newest status.
+// Status returns the current status.
 func (s *Source) Status() Status {
 	return Status{Status: s.group.Status(), Version: s.version.Load()}
 }
 
-// Order is what an operator hands in.
+// Order is a manifest submitted by an operator.
 type Order struct {
 	Manifest manifest.Manifest
 	Base     Base
-	// Text is the manifest as the operator wrote it, packed; it may be empty.
+	// Text is the compressed source text of the manifest; it may be empty.
 	Text []byte
 }
 
-// Base is the version that an order builds on. Named has a field of its own because orders
-// travel by package gob, which sends no zeros: behind a pointer the 0 of an order that
-// builds on no version would arrive as nil, which is any version, and of two such orders
-// both would be accepted.
+// Base is the version that an order is based on, used for optimistic concurrency control.
+// Named is a separate field, not a nil pointer, because orders are encoded with
+// encoding/gob, which omits zero values: a pointer to 0 (no version accepted yet) would be
+// decoded as nil (any version), and two such orders would both be accepted.
 type Base struct {
-	// Named is false for an order that builds on any version.
+	// Named is false if the order may be applied on top of any version.
 	Named bool
-	// Version is the operators' number; 0 is before the first.
+	// Version is the version number assigned by the operator; 0 means that no version
+	// has been accepted yet.
 	Version uint64
 }
 
-// On returns the base of an order that builds on this version only.
+// On returns the base of an order that is valid only on top of the given version.
 func On(version uint64) Base { return Base{Named: true, Version: version} }
 
-// String returns the version, or "any".
+// String returns the version number, or "any" if no version is required.
 func (b Base) String() string {
 	if !b.Named {
 		return "any"
@@ -115,43 +119,45 @@
 	return strconv.FormatUint(b.Version, 10)
 }
 
-// entry returns the base as a log entry holds it.
-func (b Base) entry() *uint64 {
+// versionPointer returns the base in the form stored in a log entry: nil for any
+// version.
+func (b Base) versionPointer() *uint64 {
 	if !b.Named {
 		return nil
 	}
 	return &b.Version
 }
 
-// Submit proposes a manifest here or at the leader, and waits for the commit
-// until ctx ends. What could not be put in force never enters the log.
+// Submit proposes a manifest, through the leader if this source is a follower, and
+// waits for the commit until ctx is done. A manifest that could not be put in force
+// is rejected before it enters the log.
 func (s *Source) Submit(ctx context.Context, o *Order) (Answer, error) {
 	if err := snapshot.Check(&o.Manifest); err != nil {
 		return Answer{Code: result.ManifestInvalid, Detail: err.Error()}, nil
 	}
-	if n := len(s.group.Status().Members); n < s.voters && time.Now().Before(s.growUntil) {
-		return Answer{Code: result.NoQuorum, Detail: fmt.Sprintf("the sources are being founded: %d of %d vote", n, s.voters)}, nil
+	if n := len(s.group.Status().Members); n < s.voters && time.Now().Before(s.formationDeadline) {
+		return Answer{Code: result.NoQuorum, Detail: fmt.Sprintf("the group of sources is still forming: %d of %d voters have joined", n, s.voters)}, nil
 	}
 	submitted := time.Now().UTC()
-	answer, err := s.order(ctx, s.machine.basis.Load(), o, submitted)
+	answer, err := s.proposeOrder(ctx, s.machine.diffBase.Load(), o, submitted)
 	if err == nil && answer.Code == result.RevisionStale {
-		return s.order(ctx, noBasis, o, submitted)
+		return s.proposeOrder(ctx, emptyDiffBase, o, submitted)
 	}
 	return answer, err
 }
 
-// order proposes what o changes of a basis.
-func (s *Source) order(ctx context.Context, b *basis, o *Order, submitted time.Time) (Answer, error) {
-	c, err := b.revise(o, submitted)
+// proposeOrder proposes o as a change relative to b.
+func (s *Source) proposeOrder(ctx context.Context, b *diffBase, o *Order, submitted time.Time) (Answer, error) {
+	c, err := b.diffCommand(o, submitted)
 	if err != nil {
 		return Answer{Code: result.ManifestInvalid, Detail: err.Error()}, nil
 	}
 	return s.propose(ctx, c)
 }
 
-// Read returns the newest manifest of a mesh. It goes through the log, so that
-// the answer is never older than what was accepted before the question, or is
-// none: a leader that was cut off gets no majority for it.
+// Read returns the newest manifest of a mesh. The read is committed through the log,
+// which makes it linearizable: it reflects every manifest accepted before the call,
+// or fails. A leader isolated by a network partition gets no majority for it.
 func (s *Source) Read(ctx context.Context, mesh string) (Answer, error) {
 	return s.propose(ctx, Command{Read: mesh})
 }
@@ -162,14 +168,14 @@
 		return Answer{}, err
 	}
 	o, err := s.group.Propose(ctx, raw)
-	return answerOf(o, err), nil
+	return toAnswer(o, err), nil
 }
 
-// answerOf turns the end of a proposal into what the operator is told.
-func answerOf(o outcome, err error) Answer {
+// toAnswer converts the result of a proposal to the answer sent to the operator.
+func toAnswer(o outcome, err error) Answer {
 	var failure *result.Error
 	if errors.As(err, &failure) {
 		return Answer{Code: failure.Code, Detail: failure.Detail}
 	}
-	return o.finish()
+	return o.packedAnswer()
 }
--- a/internal/process/source/text.go
+++ b/internal/process/source/text.go
@@ -7,34 +7,35 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// mostText bounds a manifest as its operator wrote it.
-const mostText = 48 << 20
+// maxTextBytes bounds the decompressed size of a manifest's source text.
+const maxTextBytes = 48 << 20
 
-// text is one manifest as its operator wrote it. It is immutable.
-type text struct {
+// manifestText is the source text of a manifest, as written by the operator. It is
+// immutable and safe for concurrent use.
+type manifestText struct {
 	document document.Document
-	// packed is what pack returns, made once at most.
+	// packed and err are the result of pack, computed at most once.
 	once   sync.Once
 	packed []byte
 	err    error
 }
 
-// newText is the text after a change; it is packed when it is asked for.
-func newText(d document.Document) *text { return &text{document: d} }
+// newManifestText returns the text of d, which is compressed on the first call of pack.
+func newManifestText(d document.Document) *manifestText { return &manifestText{document: d} }
 
-// unpackText reads what pack returned. What cannot be unpacked is kept as it is, and no
-// change is made of it.
-func unpackText(packed []byte) *text {
-	t := &text{packed: packed}
+// unpackManifestText decompresses a text returned by pack. If decompression fails, the
+// packed form is kept unchanged and the document is empty, so that no patch is based on it.
+func unpackManifestText(packed []byte) *manifestText {
+	t := &manifestText{packed: packed}
 	t.once.Do(func() {})
-	if raw, err := fleet.Unpack(packed, mostText); err == nil {
+	if raw, err := fleet.Unpack(packed, maxTextBytes); err == nil {
 		t.document = document.New(raw)
 	}
 	return t
 }
 
-// pack returns the whole text as it travels and is kept.
-func (t *text) pack() ([]byte, error) {
+// pack returns the compressed text, as used on the wire and in snapshots.
+func (t *manifestText) pack() ([]byte, error) {
 	t.once.Do(func() {
 		var raw []byte
 		if raw, t.err = t.document.Bytes(); t.err == nil && len(raw) > 0 {
@@ -44,8 +45,8 @@
 	return t.packed, t.err
 }
 
-// documentOf returns the document of a text that may not be there.
-func documentOf(t *text) document.Document {
+// documentOrEmpty returns the document of a text, or an empty document if t is nil.
+func documentOrEmpty(t *manifestText) document.Document {
 	if t == nil {
 		return document.Document{}
 	}
