--- a/internal/process/rollout/core.go
+++ b/internal/process/rollout/core.go
@@ -1,11 +1,11 @@
-// Package rollout decides, at the leader of the sources, how far a roll-out of a service's
-// software goes: it sums what the daemons tell of the answers of both versions, and takes the
-// roll-out from stage to stage or back.
+// Package rollout controls the roll-out of a new software version of a service. It runs on
+// the leader of the sources, aggregates the daemons' reports on the responses of both
+// versions, and advances the roll-out from stage to stage or rolls it back.
 //
-// Time, what daemons tell and what is known of the fleet come in; steps for the replicated
-// log come out. The package does no I/O and reads no clock. What a leader has summed is lost
-// with it: daemons tell everything since the order, so that the next one has it again with
-// their next reports.
+// Its inputs are the time, the reports of the daemons and the state of the fleet; its outputs
+// are steps for the replicated log. The package does no I/O and reads no clock. The aggregated
+// reports are lost with the leader. Since each report is cumulative since the order, the next
+// leader has the same data after the next report of every daemon.
 package rollout
 
 import (
@@ -17,241 +17,249 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// The times of a roll-out.
+// Durations used to schedule the stages of a roll-out.
 const (
-	// spreadTime is how long a step takes to be in force everywhere, with its commit.
-	spreadTime = 800 * time.Millisecond
-	// reportTime is how long the reports of all daemons take.
-	reportTime = 600 * time.Millisecond
-	// electionTime is kept for a leader that is lost on the way.
+	// propagationTime is the time to commit a step and put it in force on all daemons.
+	propagationTime = 800 * time.Millisecond
+	// reportCollectionTime is the time to receive a report from every daemon.
+	reportCollectionTime = 600 * time.Millisecond
+	// electionTime is reserved for one leader election during the roll-out.
 	electionTime = time.Second
-	// proofTime is how long all servers of the target version bear the load while the way
-	// back is as short as before.
-	proofTime = 1200 * time.Millisecond
-	// lastMoment before the end of the time a roll-out is decided, as it stands.
-	lastMoment = 300 * time.Millisecond
-	// SilentAfter is how long a daemon may not be heard of before it counts as out of
-	// touch: by then it sends nothing to the target version of itself, and once the other
-	// one's servers are taken out of use, the daemons beside them refuse what it sends.
+	// minProofTime is how long all backend servers of the target version receive load while
+	// rolling back is still as fast as in the canary stage.
+	minProofTime = 1200 * time.Millisecond
+	// decisionMargin is how long before its time limit a roll-out is decided as it stands:
+	// completed if the handover is complete, otherwise rolled back.
+	decisionMargin = 300 * time.Millisecond
+	// SilentAfter is the time without reports after which a daemon is considered
+	// unreachable. By then the daemon has stopped sending requests to the target version on
+	// its own, and once the backend servers of the previous version are taken out of use,
+	// the daemons on the same instances reject its requests.
 	SilentAfter = 2500 * time.Millisecond
 )
 
 const (
-	// latestProof is the part of the time by which the proof begins at the latest, however
-	// short the time is.
-	latestProof = 0.4
-	// loadedPart of the canary is run with half of the servers: some versions are bad only
-	// under load.
-	loadedPart = 0.5
-	// alertAlarm is the evidence that convinces before every daemon has told.
-	alertAlarm = 14.0
-	// leastAnswers of the target version are needed to call it good.
-	leastAnswers = 20
-	// mostDoubt is the part of the evidence against a version that may stand when it goes on.
-	mostDoubt = 0.5
+	// minCanaryFraction is the smallest part of the time limit that is used for the canary
+	// stage, however short the time limit is.
+	minCanaryFraction = 0.4
+	// canaryHalvingFraction is the part of the canary stage after which the number of canary
+	// servers is halved: some versions fail only under load.
+	canaryHalvingFraction = 0.5
+	// earlyAlarm is the evidence threshold used before every daemon has reported.
+	earlyAlarm = 14.0
+	// minAnswers is the minimum number of responses of the target version needed to
+	// consider it good.
+	minAnswers = 20
+	// maxDoubt is the maximum evidence against the target version, as a part of the
+	// alarm threshold, with which a roll-out may advance.
+	maxDoubt = 0.5
 )
 
-// Report is what one daemon tells of the roll-outs that run, since each was ordered.
+// Report is a daemon's report on the running roll-outs. It is cumulative since each roll-out
+// was ordered.
 type Report struct {
 	Node string
-	// Incarnation tells two lives of a daemon apart.
+	// Incarnation increases with every restart of a daemon.
 	Incarnation uint64
-	// Version is the fleet version in force there.
+	// Version is the fleet version in force on the daemon.
 	Version  uint64
 	Services []ServiceReport
 }
 
-// ServiceReport is what a daemon tells of one roll-out.
+// ServiceReport is a daemon's report on one roll-out.
 type ServiceReport struct {
 	source.ServiceName
-	// Number is that of the roll-out.
+	// Number is the number of the roll-out.
 	Number uint64
 	Tally  canary.Tally
-	// Running are the requests at servers beside the daemon that are not of the target
-	// version.
+	// Running is the number of requests running on the daemon's local backend servers that
+	// are not of the target version.
 	Running int
 }
 
-// Side is the servers of one software version of a service.
+// Side is the capacity of the backend servers of one software version of a service.
 type Side struct {
-	// Servers and Slots are those that take work, WarmSlots of those that are past their
-	// slow start.
+	// Servers and Slots count the servers that accept requests and their slots. WarmSlots
+	// are the slots of the servers that have completed their slow start.
 	Servers, Slots, WarmSlots int
 }
 
-// warm is how many of the servers are past their slow start.
-func (s Side) warm() int {
+// warmServers returns the number of servers that have completed their slow start.
+func (s Side) warmServers() int {
 	if s.Slots == 0 {
 		return 0
 	}
 	return s.Servers * s.WarmSlots / s.Slots
 }
 
-// Service is what the leader knows of one service.
+// Service is the leader's view of one service.
 type Service struct {
 	source.ServiceName
-	// Rollout is nil while nothing is known of its versions.
+	// Rollout is the newest roll-out, or nil if no version of the service is known yet.
 	Rollout *fleet.Rollout
-	// Sides are its servers by software version.
+	// Sides are the backend servers by software version.
 	Sides map[string]Side
-	// Timeout is the longest time that a request may take there.
+	// Timeout is the longest request timeout of the service.
 	Timeout time.Duration
 }
 
-// Fleet is what the leader knows of the fleet.
+// Fleet is the leader's view of the fleet.
 type Fleet struct {
 	// Version is the newest fleet version.
 	Version  uint64
 	Services []Service
-	// Daemons are the names of all daemons that count.
+	// Daemons are the names of all known daemons.
 	Daemons []string
 }
 
-// Core decides for all services. It is not safe for concurrent use.
+// Core controls the roll-outs of all services. It is not safe for concurrent use.
 type Core struct {
-	// Budget is what a version may get before it is judged good.
+	// budget limits the requests sent to a version before it is judged good.
 	budget canary.Budget
-	// seen are when the roll-outs were first seen here.
-	seen map[key]time.Time
-	runs map[key]*run
-	// settling is when a service without a known version was first seen.
-	settling map[source.ServiceName]time.Time
+	// firstSeen is when each roll-out was first seen by this source.
+	firstSeen map[rolloutKey]time.Time
+	active    map[rolloutKey]*activeRollout
+	// unversionedSince is when each service without a known version was first seen with
+	// servers.
+	unversionedSince map[source.ServiceName]time.Time
 }
 
-type key struct {
+type rolloutKey struct {
 	source.ServiceName
 	number uint64
 }
 
-// New returns a Core that knows of no roll-out.
+// New returns a Core without any roll-outs.
 func New(b canary.Budget) *Core {
-	return &Core{budget: b, seen: map[key]time.Time{}, runs: map[key]*run{}, settling: map[source.ServiceName]time.Time{}}
+	return &Core{budget: b, firstSeen: map[rolloutKey]time.Time{}, active: map[rolloutKey]*activeRollout{}, unversionedSince: map[source.ServiceName]time.Time{}}
 }
 
-// run is one roll-out that is not decided yet, at the leader.
-type run struct {
+// activeRollout is the leader's state of one undecided roll-out.
+type activeRollout struct {
 	rollout fleet.Rollout
 	budget  canary.Budget
-	// began is when it was ordered, entered when its stage was first seen here, and since
-	// when this leader began to listen to reports.
-	began, entered, since time.Time
-	// version is the fleet version at entered: who has it knows the stage.
-	version uint64
-	nodes   map[string]*told
-	// judge looks at the answers once every daemon in touch has told of the same time, alert
-	// at every look: failures are told at once and what went well later, so that it takes
-	// more to convince it.
-	judge, alert canary.Judge
-	bad          string
-	// lacks is what the stage waits for.
-	lacks string
-	// busy and busyAt are what servers had worked a while ago, rate how many slots that
-	// took since.
-	busy   time.Duration
-	busyAt time.Time
-	rate   float64
+	// orderedAt is when the roll-out was ordered, stageEnteredAt when this leader first saw
+	// its current stage, and listeningSince when this leader started to accept reports.
+	orderedAt, stageEnteredAt, listeningSince time.Time
+	// stageVersion is the fleet version at stageEnteredAt: a daemon that has this version
+	// in force has the current stage in force.
+	stageVersion uint64
+	reports      map[string]*daemonReport
+	// judge evaluates the responses once every reachable daemon has reported. earlyJudge
+	// evaluates them on every tick. Its threshold is higher, because daemons report failures
+	// at once but successes later, which biases incomplete reports towards failures.
+	judge, earlyJudge canary.Judge
+	badReason         string
+	// waitingFor describes the condition that the current stage is waiting for.
+	waitingFor string
+	// busyTime is the total busy time of the servers at measuredAt. slotsInUse is the
+	// average number of slots in use during the last measurement interval.
+	busyTime   time.Duration
+	measuredAt time.Time
+	slotsInUse float64
 }
 
-// told is the newest report of a daemon.
-type told struct {
-	at          time.Time
+// daemonReport is the newest report of a daemon.
+type daemonReport struct {
+	receivedAt  time.Time
 	incarnation uint64
 	version     uint64
 	report      ServiceReport
-	// fresh is set until the next round of the judge.
-	fresh bool
-	// before is what the daemon had told in earlier lives.
-	before canary.Tally
+	// unjudged is set until the judge has evaluated the report.
+	unjudged bool
+	// earlierTally is the sum of the tallies of earlier incarnations of the daemon.
+	earlierTally canary.Tally
 }
 
-// admitAfter is how long the servers of a service are looked at before the version of most
-// of them is taken for the one that serves.
-const admitAfter = time.Second
+// initialVersionDelay is how long the servers of a service are observed before the version
+// run by most of them is recorded as its initial version.
+const initialVersionDelay = time.Second
 
-// Watch notes when roll-outs are first seen. It is called on every source, so that one which
-// becomes the leader knows how long they have run. fresh tells that this source has just
-// started: wall is then the time of day and says how long ago they were ordered.
+// Watch records when each roll-out is first seen. It is called on every source, so that a new
+// leader knows how long the roll-outs have been running. fresh is set if this source has just
+// started: the age of a roll-out is then derived from wall, the wall clock time.
 func (c *Core) Watch(now, wall time.Time, fresh bool, services []Service) {
 	for _, s := range services {
 		if s.Rollout == nil || !s.Rollout.Stage.Running() {
 			continue
 		}
-		k := key{s.ServiceName, s.Rollout.Number}
-		if _, known := c.seen[k]; known {
+		k := rolloutKey{s.ServiceName, s.Rollout.Number}
+		if _, known := c.firstSeen[k]; known {
 			continue
 		}
-		c.seen[k] = now
+		c.firstSeen[k] = now
 		if fresh {
 			ago := min(max(wall.Sub(s.Rollout.Ordered), 0), s.Rollout.Within)
-			c.seen[k] = now.Add(-ago)
+			c.firstSeen[k] = now.Add(-ago)
 		}
 	}
 }
 
-// Follow forgets what only a leader sums.
+// Follow discards the state that only a leader needs.
 func (c *Core) Follow() {
-	clear(c.runs)
-	clear(c.settling)
+	clear(c.active)
+	clear(c.unversionedSince)
 }
 
-// Report takes in what a daemon tells; it is passed over where no roll-out runs.
+// Report records a daemon's report. It ignores services without a running roll-out.
 func (c *Core) Report(now time.Time, r *Report) {
 	for i := range r.Services {
 		s := &r.Services[i]
-		if run := c.runs[key{s.ServiceName, s.Number}]; run != nil {
-			run.report(now, r, s)
+		if rollout := c.active[rolloutKey{s.ServiceName, s.Number}]; rollout != nil {
+			rollout.addReport(now, r, s)
 		}
 	}
 }
 
-func (r *run) report(now time.Time, from *Report, s *ServiceReport) {
-	t := r.nodes[from.Node]
+func (r *activeRollout) addReport(now time.Time, from *Report, s *ServiceReport) {
+	last := r.reports[from.Node]
 	switch {
-	case t == nil:
-		t = &told{incarnation: from.Incarnation}
-		r.nodes[from.Node] = t
-	case from.Incarnation < t.incarnation:
+	case last == nil:
+		last = &daemonReport{incarnation: from.Incarnation}
+		r.reports[from.Node] = last
+	case from.Incarnation < last.incarnation:
 		return
-	case from.Incarnation > t.incarnation:
-		t.before.Merge(&t.report.Tally)
-		t.incarnation, t.version = from.Incarnation, 0
-	case s.Tally.Reached < t.report.Tally.Reached:
-		return // an older report that came late
+	case from.Incarnation > last.incarnation:
+		last.earlierTally.Merge(&last.report.Tally)
+		last.incarnation, last.version = from.Incarnation, 0
+	case s.Tally.Reached < last.report.Tally.Reached:
+		return // an older report that was delayed
 	}
-	t.at, t.version, t.report, t.fresh = now, max(t.version, from.Version), *s, true
+	last.receivedAt, last.version, last.report, last.unjudged = now, max(last.version, from.Version), *s, true
 }
 
-// Tick returns what is to be put into the log.
+// Tick returns the steps to be proposed to the log.
 func (c *Core) Tick(now time.Time, f *Fleet) []source.RolloutStep {
 	var steps []source.RolloutStep
-	running := map[key]bool{}
+	running := map[rolloutKey]bool{}
 	for i := range f.Services {
 		s := &f.Services[i]
 		if s.Rollout == nil {
-			steps = append(steps, c.admit(now, s)...)
+			steps = append(steps, c.setInitialVersion(now, s)...)
 			continue
 		}
 		if !s.Rollout.Stage.Running() {
 			continue
 		}
-		r := c.runOf(now, f, s)
-		running[key{s.ServiceName, s.Rollout.Number}] = true
+		r := c.activeFor(now, f, s)
+		running[rolloutKey{s.ServiceName, s.Rollout.Number}] = true
 		if step, due := r.decide(now, f, s); due {
 			step.ServiceName, step.Number = s.ServiceName, s.Rollout.Number
 			steps = append(steps, step)
 		}
 	}
-	for k := range c.runs {
+	for k := range c.active {
 		if !running[k] {
-			delete(c.runs, k)
+			delete(c.active, k)
 		}
 	}
 	return steps
 }
 
-// admit takes the version of most servers for the one that serves, once they have been
-// looked at for a while.
-func (c *Core) admit(now time.Time, s *Service) []source.RolloutStep {
+// setInitialVersion returns the step that sets the initial version of a service to the
+// version run by most of its servers, once they have been observed for
+// initialVersionDelay.
+func (c *Core) setInitialVersion(now time.Time, s *Service) []source.RolloutStep {
 	version, most := "", 0
 	for v, side := range s.Sides {
 		if side.Servers > most || (side.Servers == most && v < version) {
@@ -261,55 +269,56 @@
 	if most == 0 {
 		return nil
 	}
-	since, known := c.settling[s.ServiceName]
+	since, known := c.unversionedSince[s.ServiceName]
 	if !known {
-		c.settling[s.ServiceName] = now
+		c.unversionedSince[s.ServiceName] = now
 		return nil
 	}
-	if now.Sub(since) < admitAfter {
+	if now.Sub(since) < initialVersionDelay {
 		return nil
 	}
 	return []source.RolloutStep{{
 		ServiceName: s.ServiceName, Version: version,
-		Why: fmt.Sprintf("%d servers of the service announce it, and no other version was in use", most),
+		Why: fmt.Sprintf("%d backend servers of the service announce this version, and no version was in use before", most),
 	}}
 }
 
-func (c *Core) runOf(now time.Time, f *Fleet, s *Service) *run {
-	k := key{s.ServiceName, s.Rollout.Number}
-	r := c.runs[k]
+func (c *Core) activeFor(now time.Time, f *Fleet, s *Service) *activeRollout {
+	k := rolloutKey{s.ServiceName, s.Rollout.Number}
+	r := c.active[k]
 	if r == nil {
-		began, known := c.seen[k]
+		orderedAt, known := c.firstSeen[k]
 		if !known {
-			began = now
+			orderedAt = now
 		}
-		r = &run{
-			budget: c.budget, began: began, since: now, nodes: map[string]*told{},
-			judge: canary.Judge{Alarm: canary.Alarm}, alert: canary.Judge{Alarm: alertAlarm},
+		r = &activeRollout{
+			budget: c.budget, orderedAt: orderedAt, listeningSince: now, reports: map[string]*daemonReport{},
+			judge: canary.Judge{Alarm: canary.Alarm}, earlyJudge: canary.Judge{Alarm: earlyAlarm},
 		}
-		c.runs[k] = r
+		c.active[k] = r
 	}
-	if r.version == 0 || r.rollout.Stage != s.Rollout.Stage {
-		r.entered, r.version = now, f.Version
+	if r.stageVersion == 0 || r.rollout.Stage != s.Rollout.Stage {
+		r.stageEnteredAt, r.stageVersion = now, f.Version
 	}
 	r.rollout = *s.Rollout
 	return r
 }
 
-// Tally is what all daemons together have told of a roll-out.
+// Tally returns the sum of all daemons' tallies of a roll-out. It returns false if the
+// roll-out is not active.
 func (c *Core) Tally(name source.ServiceName, number uint64) (canary.Tally, bool) {
-	r := c.runs[key{name, number}]
+	r := c.active[rolloutKey{name, number}]
 	if r == nil {
 		return canary.Tally{}, false
 	}
 	return r.tally(), true
 }
 
-func (r *run) tally() canary.Tally {
+func (r *activeRollout) tally() canary.Tally {
 	var sum canary.Tally
-	for _, t := range r.nodes {
-		sum.Merge(&t.before)
-		sum.Merge(&t.report.Tally)
+	for _, report := range r.reports {
+		sum.Merge(&report.earlierTally)
+		sum.Merge(&report.report.Tally)
 	}
 	return sum
 }
--- a/internal/process/rollout/core_test.go
+++ b/internal/process/rollout/core_test.go
@@ -22,8 +22,8 @@
 	}}}
 }
 
-// TestAdmission takes the version of most servers for the one that serves, once they have
-// been looked at for a second, and none while no server is known.
+// TestAdmission checks that the version run by most servers becomes the initial version of a
+// service after one second, and that none is set while no server is known.
 func TestAdmission(t *testing.T) {
 	c := qt.New(t)
 	core := rollout.New(budget)
@@ -38,8 +38,8 @@
 	c.Check(steps[0].Version, qt.Equals, "v1")
 }
 
-// TestReports adds up what daemons tell: of one that was restarted what it had told before
-// stays, and a report that came late takes nothing back.
+// TestReports checks the sum of the daemons' reports: reports from before a daemon's restart
+// still count, and delayed reports do not reduce the sum.
 func TestReports(t *testing.T) {
 	c := qt.New(t)
 	core := rollout.New(budget)
@@ -52,22 +52,23 @@
 		return t.Reached
 	}
 	for _, row := range []struct {
-		node                       string
-		incarnation, told, reached uint64
+		node                           string
+		incarnation, reported, reached uint64
 	}{
 		{"a", 1, 100, 100}, {"b", 1, 50, 150}, {"a", 1, 120, 170}, {"a", 1, 90, 170},
 		{"a", 2, 10, 180}, {"a", 1, 130, 180}, {"a", 2, 40, 210},
 	} {
-		core.Report(now, reportOf(row.node, row.incarnation, row.told))
+		core.Report(now, reportOf(row.node, row.incarnation, row.reported))
 		c.Check(reached(), qt.Equals, row.reached, qt.Commentf("%+v", row))
 	}
 	core.Follow()
 	_, known := core.Tally(name, 1)
-	c.Check(known, qt.IsFalse, qt.Commentf("a source that does not lead sums nothing"))
+	c.Check(known, qt.IsFalse, qt.Commentf("a follower keeps no sums"))
 }
 
-// TestTimeOverARestart ends a roll-out in time whose sources were all down meanwhile: one that
-// starts goes by the time of day, one that was there by its own clock, whatever the day's says.
+// TestTimeOverARestart checks that a roll-out ends in time even if all sources were down in
+// between. A source that has just started uses the wall clock; one that was running uses the
+// time since it first saw the roll-out and ignores the wall clock.
 func TestTimeOverARestart(t *testing.T) {
 	c := qt.New(t)
 	ordered := time.Unix(5000, 0)
@@ -102,34 +103,34 @@
 	}
 }
 
-// TestSilentDaemons hands over and completes without those that are out of touch, and not
-// without one that was heard of lately and has not confirmed.
+// TestSilentDaemons checks that the handover completes without unreachable daemons, but waits
+// for daemons that have reported recently and have not confirmed the stage.
 func TestSilentDaemons(t *testing.T) {
 	c := qt.New(t)
 	core := rollout.New(budget)
 	now := time.Unix(1000, 0)
 	r := &fleet.Rollout{Number: 1, Version: "v1", Target: "v2", Stage: fleet.Handover, Within: time.Minute}
 	f := fleetWith(r, nil, "a", "b")
-	tell := func(node string, running int) {
+	sendReport := func(node string, running int) {
 		report := reportOf(node, 1, 10)
 		report.Services[0].Running = running
 		core.Report(now, report)
 	}
 	c.Check(core.Tick(now, f), qt.HasLen, 0)
 	now = now.Add(time.Second)
-	tell("a", 1)
-	tell("b", 0)
-	c.Check(core.Tick(now, f), qt.HasLen, 0, qt.Commentf("a request still runs"))
-	tell("a", 0)
+	sendReport("a", 1)
+	sendReport("b", 0)
+	c.Check(core.Tick(now, f), qt.HasLen, 0, qt.Commentf("a request is still running"))
+	sendReport("a", 0)
 	c.Assert(core.Tick(now, f), qt.HasLen, 1)
 
 	core = rollout.New(budget)
 	c.Check(core.Tick(now, f), qt.HasLen, 0)
 	now = now.Add(time.Second)
-	tell("a", 0)
-	c.Check(core.Tick(now, f), qt.HasLen, 0, qt.Commentf("b may be there"))
+	sendReport("a", 0)
+	c.Check(core.Tick(now, f), qt.HasLen, 0, qt.Commentf("b may still be reachable"))
 	now = now.Add(rollout.SilentAfter - time.Second)
-	tell("a", 0)
+	sendReport("a", 0)
 	steps := core.Tick(now, f)
 	c.Assert(steps, qt.HasLen, 1)
 	c.Check(steps[0].Stage, qt.Equals, fleet.Completed)
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -10,169 +10,175 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// decide returns the next step of a roll-out, if one is due.
-func (r *run) decide(now time.Time, f *Fleet, s *Service) (source.RolloutStep, bool) {
+// decide returns the next step of a roll-out. It returns false if no step is due.
+func (r *activeRollout) decide(now time.Time, f *Fleet, s *Service) (source.RolloutStep, bool) {
 	tally := r.tally()
-	r.measure(now, &tally)
-	r.look(now, f, &tally)
-	elapsed := now.Sub(r.began)
+	r.measureLoad(now, &tally)
+	r.judgeAnswers(now, f, &tally)
+	elapsed := now.Sub(r.orderedAt)
 	switch {
-	case r.bad != "":
-		return back("version %s is worse than %s: %s", r.rollout.Target, r.rollout.Version, r.bad)
-	case elapsed >= r.rollout.Within-lastMoment && !(r.rollout.Stage == fleet.Handover && r.handedOver(now, f)):
-		return back("its time of %s is over in stage %s: %s", r.rollout.Within, r.rollout.Stage, r.lacks)
+	case r.badReason != "":
+		return rollBack("version %s is worse than %s: %s", r.rollout.Target, r.rollout.Version, r.badReason)
+	case elapsed >= r.rollout.Within-decisionMargin && !(r.rollout.Stage == fleet.Handover && r.handoverComplete(now, f)):
+		return rollBack("its time of %s is over in stage %s: %s", r.rollout.Within, r.rollout.Stage, r.waitingFor)
 	}
 	switch r.rollout.Stage {
 	case fleet.Canary:
-		return r.canary(elapsed, s, &tally)
+		return r.decideCanary(elapsed, s, &tally)
 	case fleet.Proof:
-		return r.proof(now, f)
+		return r.decideProof(now, f)
 	case fleet.Handover:
-		if r.handedOver(now, f) {
-			return source.RolloutStep{Stage: fleet.Completed, Why: "every request goes to the version, and nothing runs at the one before it"}, true
+		if r.handoverComplete(now, f) {
+			return source.RolloutStep{Stage: fleet.Completed, Why: "all requests go to the target version, and none is running on the previous version"}, true
 		}
-		r.lacks = "not every daemon has confirmed that nothing runs at the version before"
+		r.waitingFor = "not every daemon has confirmed that nothing runs at the version before"
 	}
 	return source.RolloutStep{}, false
 }
 
-// look has the answers judged.
-func (r *run) look(now time.Time, f *Fleet, t *canary.Tally) {
-	if why := r.alert.Update(t); why != "" {
-		r.bad = why
+// judgeAnswers evaluates the reported responses and sets badReason if the target version
+// is bad.
+func (r *activeRollout) judgeAnswers(now time.Time, f *Fleet, tally *canary.Tally) {
+	if why := r.earlyJudge.Update(tally); why != "" {
+		r.badReason = why
 	}
 	for _, node := range f.Daemons {
-		if n := r.nodes[node]; !r.silent(now, n) && (n == nil || !n.fresh) {
+		if report := r.reports[node]; !r.isSilent(now, report) && (report == nil || !report.unjudged) {
 			return
 		}
 	}
-	for _, n := range r.nodes {
-		n.fresh = false
+	for _, report := range r.reports {
+		report.unjudged = false
 	}
-	if why := r.judge.Update(t); why != "" {
-		r.bad = why
+	if why := r.judge.Update(tally); why != "" {
+		r.badReason = why
 	}
 }
 
-func back(format string, args ...any) (source.RolloutStep, bool) {
+func rollBack(format string, args ...any) (source.RolloutStep, bool) {
 	return source.RolloutStep{Stage: fleet.RolledBack, Why: fmt.Sprintf(format, args...)}, true
 }
 
-// measureEvery is the least time between two looks at how much work there is.
-const measureEvery = 500 * time.Millisecond
+// measureInterval is the minimum time between two measurements of the load.
+const measureInterval = 500 * time.Millisecond
 
-// measure finds how many slots the service's work takes.
-func (r *run) measure(now time.Time, t *canary.Tally) {
-	busy := t.Busy()
-	if since := now.Sub(r.busyAt); !r.busyAt.IsZero() && since >= measureEvery && busy >= r.busy {
-		r.rate = float64(busy-r.busy) / float64(since)
-	} else if !r.busyAt.IsZero() {
+// measureLoad measures the number of slots in use by requests of the service.
+func (r *activeRollout) measureLoad(now time.Time, tally *canary.Tally) {
+	busy := tally.Busy()
+	if since := now.Sub(r.measuredAt); !r.measuredAt.IsZero() && since >= measureInterval && busy >= r.busyTime {
+		r.slotsInUse = float64(busy-r.busyTime) / float64(since)
+	} else if !r.measuredAt.IsZero() {
 		return
 	}
-	r.busy, r.busyAt = busy, now
+	r.busyTime, r.measuredAt = busy, now
 }
 
-// proofAt is when the proof begins: as late as the rest allows, for some versions turn bad
-// late.
-func (r *run) proofAt(timeout time.Duration) time.Duration {
-	rest := proofTime + spreadTime + timeout + spreadTime + reportTime + electionTime + lastMoment
-	return max(r.rollout.Within-rest, time.Duration(latestProof*float64(r.rollout.Within)))
+// proofStart returns when the proof stage starts, as time since the order. It is as late as
+// the duration of the remaining stages allows, because some versions turn bad only after
+// some time, but not before minCanaryFraction of the time limit.
+func (r *activeRollout) proofStart(timeout time.Duration) time.Duration {
+	rest := minProofTime + propagationTime + timeout + propagationTime + reportCollectionTime + electionTime + decisionMargin
+	return max(r.rollout.Within-rest, time.Duration(minCanaryFraction*float64(r.rollout.Within)))
 }
 
-// canary sets how many servers are tried, and goes on once there was time for it.
-func (r *run) canary(elapsed time.Duration, s *Service, t *canary.Tally) (source.RolloutStep, bool) {
+// decideCanary adjusts the number of canary servers, and advances to the proof stage once
+// the canary stage has lasted long enough.
+func (r *activeRollout) decideCanary(elapsed time.Duration, s *Service, tally *canary.Tally) (source.RolloutStep, bool) {
 	base, target := s.Sides[r.rollout.Version], s.Sides[r.rollout.Target]
-	proofAt := r.proofAt(s.Timeout)
-	if elapsed < proofAt {
-		servers := r.servers(elapsed, proofAt, base, target)
+	proofStart := r.proofStart(s.Timeout)
+	if elapsed < proofStart {
+		servers := r.canaryServers(elapsed, proofStart, base, target)
 		if servers == r.rollout.Servers {
 			return source.RolloutStep{}, false
 		}
-		return source.RolloutStep{Stage: fleet.Canary, Servers: servers, Why: "as many servers as bear the part of the requests that is tried"}, true
+		return source.RolloutStep{Stage: fleet.Canary, Servers: servers, Why: "number of canary servers adjusted to the canary share of the requests"}, true
 	}
-	answers := t.Target().Answers
+	answers := tally.Target().Answers
 	switch {
-	case answers < leastAnswers:
-		r.lacks = fmt.Sprintf("%d answers of the version came, and %d tell something", answers, leastAnswers)
-	case r.judge.Doubt() > mostDoubt:
-		r.lacks = r.doubt()
-	case float64(target.WarmSlots) < r.rate:
-		r.lacks = fmt.Sprintf("its servers have %d slots, the work takes %.0f", target.WarmSlots, r.rate)
+	case answers < minAnswers:
+		r.waitingFor = fmt.Sprintf("%d answers of the version came, and %d tell something", answers, minAnswers)
+	case r.judge.Doubt() > maxDoubt:
+		r.waitingFor = r.doubtDetail()
+	case float64(target.WarmSlots) < r.slotsInUse:
+		r.waitingFor = fmt.Sprintf("its servers have %d slots, the work takes %.0f", target.WarmSlots, r.slotsInUse)
 	default:
-		return source.RolloutStep{Stage: fleet.Proof, Servers: target.warm(), Why: fmt.Sprintf("%d answers of the version are as good as those of the one before", answers)}, true
+		return source.RolloutStep{Stage: fleet.Proof, Servers: target.warmServers(), Why: fmt.Sprintf("%d answers of the target version are as good as those of the previous version", answers)}, true
 	}
 	return source.RolloutStep{}, false
 }
 
-// leastServers are tried at first: of fewer, one that is slow or fails by itself would pass
-// for its version.
-const leastServers = 3
+// minCanaryServers is the minimum number of canary servers at the start. With fewer servers, a
+// single slow or failing server would be mistaken for a bad version.
+const minCanaryServers = 3
 
-func (r *run) doubt() string {
+func (r *activeRollout) doubtDetail() string {
 	return "the answers of the version leave it in doubt: " + r.judge.String()
 }
 
-// servers is how many servers of the target version are tried: as many as then are as busy
-// as the others are, and after a while half as many, so that they are under load.
-func (r *run) servers(elapsed, proofAt time.Duration, base, target Side) int {
-	warm := target.warm()
+// canaryServers returns the number of servers of the target version to use. At first they are
+// as many as have the same utilization as the servers of the base version, later half as
+// many, to test them under higher load.
+func (r *activeRollout) canaryServers(elapsed, proofStart time.Duration, base, target Side) int {
+	warm := target.warmServers()
 	if warm == 0 {
 		return 0
 	}
 	slots := float64(target.Slots) / float64(target.Servers)
 	wanted := canary.CanaryPart * r.budget.Share * float64(base.Slots) / slots
-	least := leastServers
-	if float64(elapsed) > loadedPart*float64(proofAt) {
+	least := minCanaryServers
+	if float64(elapsed) > canaryHalvingFraction*float64(proofStart) {
 		wanted, least = wanted/2, 1
 	}
 	return min(max(least, int(math.Round(wanted))), warm)
 }
 
-// proof goes on when all servers have borne for a while what the budget allows.
-func (r *run) proof(now time.Time, f *Fleet) (source.RolloutStep, bool) {
+// decideProof advances to the handover stage once all target servers have handled, for
+// minProofTime, the load that the budget allows.
+func (r *activeRollout) decideProof(now time.Time, f *Fleet) (source.RolloutStep, bool) {
 	switch {
-	case !r.known(now, f):
-		r.lacks = "not every daemon has confirmed it"
+	case !r.stageConfirmed(now, f):
+		r.waitingFor = "not every daemon has confirmed it"
 		return source.RolloutStep{}, false
-	case r.judge.Doubt() > mostDoubt:
-		r.lacks = r.doubt()
+	case r.judge.Doubt() > maxDoubt:
+		r.waitingFor = r.doubtDetail()
 		return source.RolloutStep{}, false
-	case now.Sub(r.entered) < proofTime:
+	case now.Sub(r.stageEnteredAt) < minProofTime:
 		return source.RolloutStep{}, false
 	}
-	return source.RolloutStep{Stage: fleet.Handover, Why: "its servers bore what the budget allows"}, true
+	return source.RolloutStep{Stage: fleet.Handover, Why: "the target servers handled all requests that the budget allows"}, true
 }
 
-// known reports whether every daemon in touch has the stage in force.
-func (r *run) known(now time.Time, f *Fleet) bool {
+// stageConfirmed reports whether every reachable daemon has the current stage in force.
+func (r *activeRollout) stageConfirmed(now time.Time, f *Fleet) bool {
 	for _, node := range f.Daemons {
-		if t := r.nodes[node]; !r.silent(now, t) && (t == nil || t.version < r.version) {
+		if report := r.reports[node]; !r.isSilent(now, report) && (report == nil || report.version < r.stageVersion) {
 			return false
 		}
 	}
 	return true
 }
 
-// silent reports whether a daemon has not been heard of for so long that it is out of touch.
-func (r *run) silent(now time.Time, t *told) bool {
-	heard := r.since
-	if t != nil {
-		heard = t.at
+// isSilent reports whether a daemon has sent no report for SilentAfter, so that it is
+// considered unreachable.
+func (r *activeRollout) isSilent(now time.Time, report *daemonReport) bool {
+	lastHeard := r.listeningSince
+	if report != nil {
+		lastHeard = report.receivedAt
 	}
-	if heard.Before(r.entered) && t == nil {
-		heard = r.entered
+	if lastHeard.Before(r.stageEnteredAt) && report == nil {
+		lastHeard = r.stageEnteredAt
 	}
-	return now.Sub(heard) >= SilentAfter
+	return now.Sub(lastHeard) >= SilentAfter
 }
 
-// handedOver reports whether nothing is sent to the version before any more and nothing runs
-// there.
-func (r *run) handedOver(now time.Time, f *Fleet) bool {
-	if !r.known(now, f) {
+// handoverComplete reports whether no requests are sent to the previous version any more and
+// none is running there.
+func (r *activeRollout) handoverComplete(now time.Time, f *Fleet) bool {
+	if !r.stageConfirmed(now, f) {
 		return false
 	}
 	for _, node := range f.Daemons {
-		if t := r.nodes[node]; t != nil && !r.silent(now, t) && t.report.Running > 0 {
+		if report := r.reports[node]; report != nil && !r.isSilent(now, report) && report.report.Running > 0 {
 			return false
 		}
 	}
--- a/internal/process/rollout/rollout_test.go
+++ b/internal/process/rollout/rollout_test.go
@@ -11,11 +11,11 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// seeds is how many seeds of each scenario are played; by hand 200 are.
+// seeds is the number of seeds to simulate for each scenario; manual runs use 200.
 var seeds = flag.Int("rollout.seeds", 1, "seeds of each simulated roll-out")
 
-// versions are the ways in which a version can be good or bad.
-var versions = map[string]fault{
+// targetVersions are the simulated target versions, good and bad ones.
+var targetVersions = map[string]versionFault{
 	"good":             {},
 	"bad at once 3%":   {share: 0.03},
 	"bad at once 10%":  {share: 0.1},
@@ -28,8 +28,8 @@
 	"slow 50%":         {share: 0.5, slow: 4},
 }
 
-// troubles are what may look like a bad version, or hide one.
-var troubles = map[string]trouble{
+// disturbances are conditions that may be mistaken for a bad version, or hide one.
+var disturbances = map[string]disturbance{
 	"calm":                {},
 	"cold new servers":    {cold: 3 * time.Second},
 	"grey servers":        {greyShare: 0.15, greyRate: 0.46, greyAt: 2 * time.Second, greyFor: 5 * time.Second},
@@ -40,80 +40,82 @@
 	"leader lost early":   {leaderLost: []time.Duration{2 * time.Second}},
 	"leader lost late":    {leaderLost: []time.Duration{7 * time.Second}},
 	"grey before the end": {greyShare: 0.15, greyRate: 0.46, greyAt: 6500 * time.Millisecond},
-	"daemons cut off":     {cutShare: 0.05, cutAt: 5 * time.Second},
+	"daemons cut off":     {isolatedShare: 0.05, isolatedAt: 5 * time.Second},
 }
 
-// sites are the services that are played.
-var sites = map[string]func(seed uint64) scenario{
-	"large": usual,
+// serviceProfiles are the simulated services.
+var serviceProfiles = map[string]func(seed uint64) scenario{
+	"large": defaultScenario,
 	"small": func(seed uint64) scenario {
-		sc := usual(seed)
+		sc := defaultScenario(seed)
 		sc.servers, sc.perSecond, sc.work, sc.timeout = 14, 551, 150*time.Millisecond, 1500*time.Millisecond
 		sc.speeds, sc.routes = []float64{0.6, 1, 1.4}, map[string]float64{"lookup": 0.88, "transfer": 0.12}
 		return sc
 	},
 	"few requests": func(seed uint64) scenario {
-		sc := usual(seed)
+		sc := defaultScenario(seed)
 		sc.daemons, sc.servers, sc.perSecond = 10, 4, 20
 		return sc
 	},
 	"two hundred": func(seed uint64) scenario {
-		sc := usual(seed)
+		sc := defaultScenario(seed)
 		sc.daemons, sc.servers, sc.perSecond, sc.within = 200, 180, 4000, 20*time.Second
 		return sc
 	},
 }
 
-// certain are the versions that must be told for what they are on a busy service in calm.
-var certain = []string{"good", "bad at once 10%", "bad at once 50%", "bad later 50%", "bad on one route", "slow 50%"}
+// alwaysDetected are the versions that must be judged correctly on a busy service without
+// disturbances.
+var alwaysDetected = []string{"good", "bad at once 10%", "bad at once 50%", "bad later 50%", "bad on one route", "slow 50%"}
 
-// TestRollouts plays good and bad versions beside troubles and counts how they end. However
-// they end, no more than the budget is spent before the handover, nothing is cut by the end,
-// and it comes in time.
+// TestRollouts simulates roll-outs of good and bad versions under disturbances and counts the
+// misjudged ones. Every roll-out must end within its time limit, keep the number of requests
+// to the target version within the budget before the handover, and interrupt no requests.
 func TestRollouts(t *testing.T) {
-	for place, site := range sites {
-		for label, bad := range versions {
-			for also, trouble := range troubles {
-				t.Run(place+"/"+label+"/"+also, func(t *testing.T) {
+	for profileName, profile := range serviceProfiles {
+		for versionName, fault := range targetVersions {
+			for conditionName, condition := range disturbances {
+				t.Run(profileName+"/"+versionName+"/"+conditionName, func(t *testing.T) {
 					t.Parallel()
-					must := also == "calm" && (place == "large" || place == "two hundred") && slices.Contains(certain, label)
-					play(qt.New(t), site, bad, trouble, must)
+					mustBeCorrect := conditionName == "calm" && (profileName == "large" || profileName == "two hundred") && slices.Contains(alwaysDetected, versionName)
+					playScenario(qt.New(t), profile, fault, condition, mustBeCorrect)
 				})
 			}
 		}
 	}
 }
 
-// play plays one scenario with all seeds; must tells that none may be misjudged.
-func play(c *qt.C, site func(uint64) scenario, bad fault, also trouble, must bool) {
+// playScenario simulates one scenario with all seeds. If mustBeCorrect is set, no roll-out may
+// be misjudged.
+func playScenario(c *qt.C, profile func(uint64) scenario, fault versionFault, condition disturbance, mustBeCorrect bool) {
 	want := fleet.Completed
-	if bad.share > 0 {
+	if fault.share > 0 {
 		want = fleet.RolledBack
 	}
-	missed, late, worst := 0, 0, 0.0
+	misjudged, late, worst := 0, 0, 0.0
 	for seed := range uint64(*seeds) {
-		sc := site(seed + 1)
-		sc.bad, sc.trouble = bad, also
-		out := sc.run()
-		note := qt.Commentf("seed %d: %s at %s, %d of %d spent, %d bad: %s", seed+1, out.stage, out.at, out.spent, out.all, out.bad, out.why)
-		c.Check(out.cut, qt.Equals, 0, note)
-		c.Check(out.stage.Final(), qt.IsTrue, note)
-		c.Check(out.at <= sc.within, qt.IsTrue, note)
-		c.Check(out.over <= 0, qt.IsTrue, note)
-		if out.stage != want {
-			missed++
+		sc := profile(seed + 1)
+		sc.fault, sc.disturbance = fault, condition
+		result := sc.run()
+		note := qt.Commentf("seed %d: %s at %s, %d of %d spent, %d bad: %s", seed+1, result.stage, result.endedAt, result.targetRequests, result.allRequests, result.badAnswers, result.why)
+		c.Check(result.interruptedRequests, qt.Equals, 0, note)
+		c.Check(result.stage.Final(), qt.IsTrue, note)
+		c.Check(result.endedAt <= sc.within, qt.IsTrue, note)
+		c.Check(result.overBudget <= 0, qt.IsTrue, note)
+		if result.stage != want {
+			misjudged++
 			c.Logf("%s", note)
-			c.Check(must, qt.IsFalse, note)
+			c.Check(mustBeCorrect, qt.IsFalse, note)
 		}
-		if bad.share > 0 {
-			worst = max(worst, float64(out.spent-50)/float64(out.all))
+		if fault.share > 0 {
+			worst = max(worst, float64(result.targetRequests-50)/float64(result.allRequests))
 		}
-		if out.fifty > 0 && out.stage == fleet.RolledBack && also.cutShare == 0 && out.last-out.fifty > lastAfter {
+		if result.fiftiethBadAt > 0 && result.stage == fleet.RolledBack && condition.isolatedShare == 0 && result.lastTargetRequestAt-result.fiftiethBadAt > maxExposureAfterBad {
 			late++
 		}
 	}
-	c.Logf("%d of %d missed, %d got requests over %s after the 50th bad answer, worst share beyond the slack %.3f", missed, *seeds, late, lastAfter, worst)
+	c.Logf("%d of %d misjudged, %d received requests more than %s after the 50th bad answer, worst share above the slack %.3f", misjudged, *seeds, late, maxExposureAfterBad, worst)
 }
 
-// lastAfter is how long after its 50th bad answer a version may get requests.
-const lastAfter = 5 * time.Second
+// maxExposureAfterBad is how long a version may receive requests after its 50th bad answer.
+const maxExposureAfterBad = 5 * time.Second
--- a/internal/process/rollout/sim_test.go
+++ b/internal/process/rollout/sim_test.go
@@ -13,39 +13,42 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// fault is how a target version is bad; the zero fault is a good version.
-type fault struct {
-	// share of the answers is bad: failed, or slow times as long.
+// versionFault describes how a target version is bad; the zero value is a good version.
+type versionFault struct {
+	// share is the share of bad responses. They fail, or take slow times as long if slow is
+	// set.
 	share float64
 	slow  float64
-	// from is the part of the time at which it turns bad.
+	// from is when the version turns bad, as a fraction of the time limit.
 	from float64
-	// loaded makes only servers bad that have so many of their slots in use.
+	// loaded is the fraction of slots in use from which a server is bad.
 	loaded float64
-	// route, if not "", is the only one that is bad.
+	// route, if not empty, is the only bad route.
 	route string
 }
 
-// trouble is what else goes on.
-type trouble struct {
-	// greyShare of the servers of both versions fail greyRate of their requests, from greyAt on.
+// disturbance describes other conditions during a roll-out.
+type disturbance struct {
+	// greyShare is the share of servers of both versions with a grey failure: they fail
+	// greyRate of their requests from greyAt on.
 	greyShare, greyRate float64
 	greyAt              time.Duration
-	// greyFor is how long that lasts; 0 is to the end.
+	// greyFor is the duration of the grey failures; 0 means until the end.
 	greyFor time.Duration
-	// baseGreyRate is what all servers of the version before fail meanwhile.
+	// baseGreyRate is the failure rate of all servers of the base version in that period.
 	baseGreyRate float64
-	// slowShare of all servers take slowBy as long.
+	// slowShare is the share of servers that take slowBy times as long.
 	slowShare, slowBy float64
-	// leaderLost are the times at which the leader is lost for leaderGone.
+	// leaderLost are the times at which the leader fails; the next one takes over 1 s
+	// later.
 	leaderLost []time.Duration
 	// cold is how long new servers are slow.
 	cold time.Duration
-	// burst is the load from 4 s to 7 s, in multiples of the usual.
+	// burst is the load from 4 s to 7 s, as a multiple of the normal load.
 	burst float64
-	// cutShare of the daemons do not hear of anything from cutAt on.
-	cutShare float64
-	cutAt    time.Duration
+	// isolatedShare is the share of daemons that are isolated from isolatedAt on.
+	isolatedShare float64
+	isolatedAt    time.Duration
 }
 
 // scenario is one simulated roll-out.
@@ -57,35 +60,35 @@
 	routes          map[string]float64
 	work            time.Duration
 	within, timeout time.Duration
-	usual           float64
+	baseFailureRate float64
 	speeds          []float64
-	bad             fault
-	trouble         trouble
+	fault           versionFault
+	disturbance     disturbance
 }
 
-func usual(seed uint64) scenario {
+func defaultScenario(seed uint64) scenario {
 	return scenario{
 		seed: seed, daemons: 69, servers: 55, slots: 12, perSecond: 1390, routes: map[string]float64{"lookup": 0.45, "transfer": 0.55},
-		speeds: []float64{0.7, 0.7, 1.6}, work: 300 * time.Millisecond, within: 12 * time.Second, timeout: 2 * time.Second, usual: 0.001,
+		speeds: []float64{0.7, 0.7, 1.6}, work: 300 * time.Millisecond, within: 12 * time.Second, timeout: 2 * time.Second, baseFailureRate: 0.001,
 	}
 }
 
-// ended is how a simulated roll-out ended.
-type ended struct {
-	stage fleet.Stage
-	why   string
-	at    time.Duration
-	spent int
-	all   int
-	bad   int
-	fifty time.Duration
-	last  time.Duration
-	// worst is the most that the target version had of all requests above a share of 0.08
-	// and 30 besides, before the time of the handover.
-	over float64
-	// cut are requests at servers of the version before when the roll-out completed, and
-	// sent there later by daemons in touch.
-	cut int
+// simResult is the result of a simulated roll-out.
+type simResult struct {
+	stage               fleet.Stage
+	why                 string
+	endedAt             time.Duration
+	targetRequests      int
+	allRequests         int
+	badAnswers          int
+	fiftiethBadAt       time.Duration
+	lastTargetRequestAt time.Duration
+	// overBudget is the largest excess, before the handover, of the requests to the target
+	// version over a share of 0.08 of all requests plus 30.
+	overBudget float64
+	// interruptedRequests counts the requests running on base servers when the roll-out completed,
+	// and those sent there later by daemons that are not isolated.
+	interruptedRequests int
 }
 
 type event struct {
@@ -108,12 +111,12 @@
 func (e *events) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
 type node struct {
-	name    string
-	account *canary.Account
-	rollout fleet.Rollout
-	version uint64
-	cut     bool
-	running map[string]int
+	name     string
+	account  *canary.Account
+	rollout  fleet.Rollout
+	version  uint64
+	isolated bool
+	running  map[string]int
 }
 
 type server struct {
@@ -128,41 +131,41 @@
 
 type sim struct {
 	scenario
-	r       *rand.Rand
-	now     time.Duration
-	q       events
-	seq     int
-	nodes   []*node
-	base    []*server
-	target  []*server
-	core    *rollout.Core
-	lead    bool
-	fresh   *rollout.Core
-	rollout fleet.Rollout
-	version uint64
-	pending bool
-	// handed is set once every request was to go to the target version.
-	handed bool
-	out    ended
-	epoch  time.Time
-	names  []string
+	r         *rand.Rand
+	now       time.Duration
+	events    events
+	seq       int
+	nodes     []*node
+	base      []*server
+	target    []*server
+	core      *rollout.Core
+	hasLeader bool
+	standby   *rollout.Core
+	rollout   fleet.Rollout
+	version   uint64
+	pending   bool
+	// handoverStarted is set once the handover stage is committed.
+	handoverStarted bool
+	result          simResult
+	epoch           time.Time
+	routeNames      []string
 }
 
 func (s *sim) after(d time.Duration, do func()) {
 	s.seq++
-	heap.Push(&s.q, event{s.now + d, s.seq, do})
+	heap.Push(&s.events, event{s.now + d, s.seq, do})
 }
 
 func (s *sim) clock() time.Time { return s.epoch.Add(s.now) }
 
-// run plays a scenario to the end of its time.
-func (sc scenario) run() ended {
-	s := &sim{scenario: sc, r: rand.New(rand.NewPCG(sc.seed, 7)), epoch: time.Unix(1_000_000, 0), lead: true, version: 5}
+// run simulates a scenario until its end.
+func (sc scenario) run() simResult {
+	s := &sim{scenario: sc, r: rand.New(rand.NewPCG(sc.seed, 7)), epoch: time.Unix(1_000_000, 0), hasLeader: true, version: 5}
 	for name := range sc.routes {
-		s.names = append(s.names, name)
+		s.routeNames = append(s.routeNames, name)
 	}
-	if len(s.names) > 1 && s.names[0] > s.names[1] {
-		s.names[0], s.names[1] = s.names[1], s.names[0]
+	if len(s.routeNames) > 1 && s.routeNames[0] > s.routeNames[1] {
+		s.routeNames[0], s.routeNames[1] = s.routeNames[1], s.routeNames[0]
 	}
 	s.rollout = fleet.Rollout{Number: 1, Version: "v1", Target: "v2", Stage: fleet.Canary, Within: sc.within, Ordered: s.epoch}
 	for i := range sc.daemons {
@@ -171,8 +174,8 @@
 	for i := range sc.servers {
 		for _, v := range []string{"v1", "v2"} {
 			sv := &server{addr: fmt.Sprint(v, "-", i), version: v, node: s.nodes[i%sc.daemons], speed: sc.speeds[s.r.IntN(len(sc.speeds))]}
-			sv.grey = s.r.Float64() < sc.trouble.greyShare
-			sv.slow = s.r.Float64() < sc.trouble.slowShare
+			sv.grey = s.r.Float64() < sc.disturbance.greyShare
+			sv.slow = s.r.Float64() < sc.disturbance.slowShare
 			if v == "v1" {
 				s.base = append(s.base, sv)
 			} else {
@@ -181,41 +184,41 @@
 		}
 	}
 	s.core = rollout.New(budget)
-	s.fresh = rollout.New(budget) // watches on another source
+	s.standby = rollout.New(budget) // Core of another source, which becomes the next leader
 	for i, n := range s.nodes {
 		n.rollout = s.rollout
 		credit := 0
 		if s.r.IntN(sc.daemons) >= 0 {
 			credit = budget.Credit(i, sc.daemons)
 		}
-		s.after(s.spread(), func() { s.install(n, s.rollout, s.version, credit) })
+		s.after(s.delay(), func() { s.install(n, s.rollout, s.version, credit) })
 		s.after(time.Duration(s.r.IntN(350))*time.Millisecond, func() { s.reportLoop(n) })
-		if s.r.Float64() < sc.trouble.cutShare {
-			s.after(sc.trouble.cutAt, func() { n.cut = true })
+		if s.r.Float64() < sc.disturbance.isolatedShare {
+			s.after(sc.disturbance.isolatedAt, func() { n.isolated = true })
 		}
 	}
 	s.after(0, s.tick)
 	s.after(0, s.arrive)
-	for _, at := range sc.trouble.leaderLost {
-		s.after(at, func() { s.lead = false })
-		s.after(at+time.Second, func() { s.core, s.fresh, s.lead = s.fresh, rollout.New(budget), true; s.core.Follow() })
+	for _, at := range sc.disturbance.leaderLost {
+		s.after(at, func() { s.hasLeader = false })
+		s.after(at+time.Second, func() { s.core, s.standby, s.hasLeader = s.standby, rollout.New(budget), true; s.core.Follow() })
 	}
-	for len(s.q) > 0 && s.now < sc.within+2*time.Second {
-		e := heap.Pop(&s.q).(event)
+	for len(s.events) > 0 && s.now < sc.within+2*time.Second {
+		e := heap.Pop(&s.events).(event)
 		s.now = e.at
 		e.do()
 	}
-	s.out.stage, s.out.why = s.rollout.Stage, s.rollout.Why
-	return s.out
+	s.result.stage, s.result.why = s.rollout.Stage, s.rollout.Why
+	return s.result
 }
 
 var budget = canary.Budget{Share: 0.1, Slack: 50}
 
-func (s *sim) spread() time.Duration { return time.Duration(100+s.r.IntN(700)) * time.Millisecond }
+func (s *sim) delay() time.Duration { return time.Duration(100+s.r.IntN(700)) * time.Millisecond }
 
-// install puts a stage in force at a daemon.
+// install puts a stage in force on a daemon.
 func (s *sim) install(n *node, r fleet.Rollout, version uint64, credit int) {
-	if n.cut || version < n.version {
+	if n.isolated || version < n.version {
 		return
 	}
 	n.version, n.rollout = version, r
@@ -227,8 +230,8 @@
 }
 
 func (s *sim) load() float64 {
-	if s.trouble.burst > 0 && s.now > 4*time.Second && s.now < 7*time.Second {
-		return s.trouble.burst
+	if s.disturbance.burst > 0 && s.now > 4*time.Second && s.now < 7*time.Second {
+		return s.disturbance.burst
 	}
 	return 1
 }
@@ -236,14 +239,14 @@
 func (s *sim) arrive() {
 	s.after(time.Duration(s.r.ExpFloat64()/(s.perSecond*s.load())*float64(time.Second)), s.arrive)
 	n := s.nodes[s.r.IntN(len(s.nodes))]
-	route := s.names[0]
-	if len(s.names) > 1 && s.r.Float64() > s.routes[route] {
-		route = s.names[1]
+	route := s.routeNames[0]
+	if len(s.routeNames) > 1 && s.r.Float64() > s.routes[route] {
+		route = s.routeNames[1]
 	}
 	first, list := "v1", s.base
 	limit := 0
 	if n.account != nil && n.rollout.Stage.Running() {
-		arm, _ := n.account.Choose(s.clock(), route, !n.cut)
+		arm, _ := n.account.Choose(s.clock(), route, !n.isolated)
 		first, limit = arm.Version, arm.First
 		n.account.Sent(first)
 	} else if n.rollout.Stage == fleet.Completed {
@@ -252,7 +255,7 @@
 	if first == "v2" {
 		list = s.target
 		if limit > 0 {
-			from := limit * 7 % len(list) // each number of servers has an order of its own
+			from := limit * 7 % len(list) // each number of servers has a different order
 			list = append(append([]*server(nil), list[from:]...), list[:from]...)[:min(limit, len(list))]
 		}
 	}
@@ -263,24 +266,24 @@
 		}
 	}
 	if stage := sv.node.rollout.Stage; sv.version == "v1" && (stage == fleet.Handover || stage == fleet.Completed) {
-		return // the daemon beside the server refuses it
+		return // the daemon on the server's instance rejects it
 	}
 	if sv.running >= s.slots+4 {
-		return // refused, has not run
+		return // rejected without running
 	}
-	if first == "v1" && s.rollout.Stage == fleet.Completed && !n.cut {
-		s.out.cut++
+	if first == "v1" && s.rollout.Stage == fleet.Completed && !n.isolated {
+		s.result.interruptedRequests++
 	}
 	s.serve(n, sv, route)
 }
 
-func (s *sim) greyNow() bool {
-	t := &s.trouble
+func (s *sim) greyPeriod() bool {
+	t := &s.disturbance
 	return s.now > t.greyAt && (t.greyFor == 0 || s.now < t.greyAt+t.greyFor)
 }
 
 func (s *sim) isBad(sv *server, route string) bool {
-	b := s.bad
+	b := s.fault
 	if sv.version != "v2" || b.share == 0 || s.now < time.Duration(b.from*float64(s.within)) {
 		return false
 	}
@@ -293,29 +296,29 @@
 func (s *sim) serve(n *node, sv *server, route string) {
 	sv.running++
 	if s.now < s.within {
-		s.out.all++
+		s.result.allRequests++
 	}
 	took := float64(s.work) * math.Exp(s.r.NormFloat64()*0.5-0.125) / sv.speed
-	failed := s.r.Float64() < s.usual
+	failed := s.r.Float64() < s.baseFailureRate
 	if sv.version == "v1" {
-		failed = failed || s.greyNow() && s.r.Float64() < s.trouble.baseGreyRate
+		failed = failed || s.greyPeriod() && s.r.Float64() < s.disturbance.baseGreyRate
 	} else {
 		if s.now < s.within {
-			s.out.spent++
+			s.result.targetRequests++
 		}
-		s.out.last = s.now
-		if s.now < s.trouble.cold {
+		s.result.lastTargetRequestAt = s.now
+		if s.now < s.disturbance.cold {
 			took *= 2
 		}
 	}
-	if sv.grey && s.greyNow() {
-		failed = failed || s.r.Float64() < s.trouble.greyRate
+	if sv.grey && s.greyPeriod() {
+		failed = failed || s.r.Float64() < s.disturbance.greyRate
 	}
 	if sv.slow {
-		took *= s.trouble.slowBy
+		took *= s.disturbance.slowBy
 	}
-	if bad := s.isBad(sv, route); bad && s.bad.slow > 0 {
-		took *= s.bad.slow
+	if bad := s.isBad(sv, route); bad && s.fault.slow > 0 {
+		took *= s.fault.slow
 		s.countBad(time.Duration(took))
 	} else if bad {
 		failed = true
@@ -332,17 +335,17 @@
 				s.after(125*time.Millisecond, func() { s.send(n) })
 			}
 		}
-		if sv.version == "v2" && !s.handed {
-			s.out.over = max(s.out.over, float64(s.out.spent)-0.08*float64(s.out.all)-30)
+		if sv.version == "v2" && !s.handoverStarted {
+			s.result.overBudget = max(s.result.overBudget, float64(s.result.targetRequests)-0.08*float64(s.result.allRequests)-30)
 		}
 	})
 }
 
 func (s *sim) countBad(after time.Duration) {
 	s.after(after, func() {
-		s.out.bad++
-		if s.out.bad == 50 {
-			s.out.fifty = s.now
+		s.result.badAnswers++
+		if s.result.badAnswers == 50 {
+			s.result.fiftiethBadAt = s.now
 		}
 	})
 }
@@ -353,7 +356,7 @@
 }
 
 func (s *sim) send(n *node) {
-	if n.cut || n.account == nil {
+	if n.isolated || n.account == nil {
 		return
 	}
 	running := 0
@@ -366,7 +369,7 @@
 		ServiceName: name, Number: 1, Tally: n.account.Tally(), Running: running,
 	}}}
 	s.after(20*time.Millisecond, func() {
-		if s.lead {
+		if s.hasLeader {
 			s.core.Report(s.clock(), report)
 		}
 	})
@@ -377,7 +380,7 @@
 func (s *sim) fleet() *rollout.Fleet {
 	current := s.rollout
 	warm := s.servers * s.slots
-	if s.now < s.trouble.cold {
+	if s.now < s.disturbance.cold {
 		warm = 0
 	}
 	f := &rollout.Fleet{Version: s.version, Services: []rollout.Service{{
@@ -393,13 +396,13 @@
 	return f
 }
 
-// tick is the leader's look, and the commit of what it decides.
+// tick runs the leader's periodic evaluation and commits the resulting steps.
 func (s *sim) tick() {
 	s.after(100*time.Millisecond, s.tick)
 	f := s.fleet()
 	s.core.Watch(s.clock(), s.clock(), false, f.Services)
-	s.fresh.Watch(s.clock(), s.clock(), false, f.Services)
-	if !s.lead || s.pending {
+	s.standby.Watch(s.clock(), s.clock(), false, f.Services)
+	if !s.hasLeader || s.pending {
 		return
 	}
 	for _, step := range s.core.Tick(s.clock(), f) {
@@ -419,18 +422,18 @@
 	s.version++
 	s.rollout = *next
 	if next.Stage.Final() {
-		s.out.at = s.now
+		s.result.endedAt = s.now
 	}
-	s.handed = s.handed || next.Stage == fleet.Handover
+	s.handoverStarted = s.handoverStarted || next.Stage == fleet.Handover
 	if next.Stage == fleet.Completed {
 		for _, sv := range s.base {
-			if !sv.node.cut {
-				s.out.cut += sv.running
+			if !sv.node.isolated {
+				s.result.interruptedRequests += sv.running
 			}
 		}
 	}
 	version, r := s.version, s.rollout
 	for _, n := range s.nodes {
-		s.after(s.spread(), func() { s.install(n, r, version, 0) })
+		s.after(s.delay(), func() { s.install(n, r, version, 0) })
 	}
 }
