--- a/internal/process/storage/dir.go
+++ b/internal/process/storage/dir.go
@@ -8,33 +8,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// File is an open file that is appended to.
+// File is a file opened for appending.
 type File interface {
 	io.Writer
-	// Sync makes what was written durable.
+	// Sync makes all written data durable.
 	Sync() error
 	Close() error
 }
 
-// Dir is a data folder. What Create and Rename do to names is durable only
-// after Sync.
+// Dir is a data folder. File names created or changed by Create and Rename are durable
+// only after Sync.
 type Dir interface {
-	// ReadFile returns a file's content, or an error that is os.ErrNotExist.
+	// ReadFile returns the content of a file. The error is os.ErrNotExist if there is
+	// no such file.
 	ReadFile(name string) ([]byte, error)
 	// Create opens an empty file for appending.
 	Create(name string) (File, error)
-	// OpenAt opens a file for appending after its first size bytes; the rest
-	// is cut.
+	// OpenAt truncates a file to size bytes and opens it for appending.
 	OpenAt(name string, size int64) (File, error)
-	// Rename replaces a file by another.
+	// Rename renames a file, and replaces an existing file of that name.
 	Rename(from, to string) error
-	// Sync makes the names durable.
+	// Sync makes the file names durable.
 	Sync() error
-	// Path names a file for people.
+	// Path returns the path of a file, for use in messages.
 	Path(name string) string
 }
 
-// OSDir is a Dir in the file system.
+// OSDir is a Dir in the file system of the operating system.
 type OSDir string
 
 const (
@@ -42,7 +42,7 @@
 	fileMode = 0o640
 )
 
-// NewOSDir creates the folder if needed.
+// NewOSDir returns an OSDir for path. It creates the folder if it does not exist.
 func NewOSDir(path string) (OSDir, error) {
 	if err := makeDir(path, syncDir); err != nil {
 		return "", errors.Wrap(err, "create data folder")
@@ -50,9 +50,9 @@
 	return OSDir(path), nil
 }
 
-// makeDir creates a folder with those above it that are missing, and syncs the folder
-// that holds each new name: until then a loss of power may take the name away, and with
-// it the synced files below.
+// makeDir creates a folder and its missing parents, and syncs the parent of each new
+// folder. Without that, a power loss may remove the folder's name and with it the synced
+// files below.
 func makeDir(path string, sync func(string) error) error {
 	var parents []string
 	for missing := filepath.Clean(path); ; missing = filepath.Dir(missing) {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir makes the file names in a folder durable.
 func syncDir(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/process/storage/dir_test.go
+++ b/internal/process/storage/dir_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestNewFoldersAreDurable holds that the name of each folder that is made is synced in
-// the folder above it, the lowest first, and that nothing is synced for one that is there.
-// The log was synced, and the folder that holds it was not: a loss of power in the first
-// life of a source might have taken all that it had acknowledged.
+// TestNewFoldersAreDurable checks that makeDir syncs the parent of each new folder, the
+// deepest first, and syncs nothing for existing folders. Before that, only the log was synced
+// and not the parents of its folder: a power loss during the first run of a source could
+// remove everything that the source had acknowledged.
 func TestNewFoldersAreDurable(t *testing.T) {
 	c := qt.New(t)
 	root := c.TempDir()
--- a/internal/process/storage/fuzz_test.go
+++ b/internal/process/storage/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/daisygate/daisygate/internal/process/replica"
 )
 
-// FuzzReplay looks for the content of a log that is not survived: what cannot be read is
-// refused or cut, and what was read once is read again.
+// FuzzReplay checks that replay does not panic on arbitrary log content, and that replaying
+// the valid part again gives the same result.
 func FuzzReplay(f *testing.F) {
 	var log []byte
 	for _, r := range []record{
@@ -21,12 +21,12 @@
 		{Snapshot: &replica.Snapshot{Index: 1, Term: 1, Data: []byte("state")}},
 		{Entries: []replica.Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2, Voters: []replica.Voter{{Member: "a", Disk: 7}}}}},
 	} {
-		framed, err := r.frame(nil)
+		encoded, err := r.appendTo(nil)
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(framed)
-		log = append(log, framed...)
+		f.Add(encoded)
+		log = append(log, encoded...)
 	}
 	f.Add(log)
 	f.Add(log[:len(log)-3])
@@ -38,16 +38,17 @@
 			return
 		}
 		if end < 0 || end > int64(len(raw)) {
-			t.Fatalf("whole records end at %d of %d bytes", end, len(raw))
+			t.Fatalf("valid records end at %d of %d bytes", end, len(raw))
 		}
 		if second, err := replay(raw[:end], &again); err != nil || second != end {
-			t.Fatalf("read again: %d, %v; first %d", second, err, end)
+			t.Fatalf("second replay ended at %d, %v; the first at %d", second, err, end)
 		}
 		qt.Check(t, again, qt.DeepEquals, first)
 	})
 }
 
-// FuzzBody looks for the body of a record, framed as it has to be, that is not survived.
+// FuzzBody checks that Open does not panic on a record with a valid header and an arbitrary
+// body.
 func FuzzBody(f *testing.F) {
 	whole := record{
 		HardState:  &replica.HardState{Term: 2, Vote: "a", Commit: 1},
@@ -55,15 +56,15 @@
 		Entries:    []replica.Entry{{Index: 2, Term: 2, Data: []byte("data")}},
 		Membership: &replica.Membership{Disk: 7, Voting: true},
 	}
-	framed, err := whole.frame(nil)
+	encoded, err := whole.appendTo(nil)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(framed[frameSize:])
+	f.Add(encoded[headerSize:])
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		path := t.TempDir()
-		if err := os.WriteFile(filepath.Join(path, logName), frameOf(body), fileMode); err != nil {
+		if err := os.WriteFile(filepath.Join(path, logName), frameBody(body), fileMode); err != nil {
 			t.Fatal(err)
 		}
 		dir, err := NewOSDir(path)
@@ -76,12 +77,12 @@
 	})
 }
 
-// frameOf puts a frame around a body, as record.frame does.
-func frameOf(body []byte) []byte {
-	framed := append([]byte(nil), magic...)
-	framed = binary.LittleEndian.AppendUint32(framed, uint32(len(body)))
-	framed = append(framed, 0, 0, 0, 0)
-	framed = append(framed, body...)
-	binary.LittleEndian.PutUint32(framed[sumStart:], checksum(framed))
-	return framed
+// frameBody prepends a record header to a body, as record.appendTo does.
+func frameBody(body []byte) []byte {
+	encoded := append([]byte(nil), magic...)
+	encoded = binary.LittleEndian.AppendUint32(encoded, uint32(len(body)))
+	encoded = append(encoded, 0, 0, 0, 0)
+	encoded = append(encoded, body...)
+	binary.LittleEndian.PutUint32(encoded[checksumOffset:], checksum(encoded))
+	return encoded
 }
--- a/internal/process/storage/lock.go
+++ b/internal/process/storage/lock.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// lockFile is the file in the data folder on which the lock is held.
+// lockFile is the name of the lock file in the data folder.
 const lockFile = "lock"
 
-// ErrLocked is returned when another process uses the data folder.
+// ErrLocked is returned if another process has locked the data folder.
 var ErrLocked = errors.New("is used by another process")
 
-// Lock is held on a data folder by the one process that uses it. It ends with
-// the process, however that ends.
+// Lock is an exclusive lock on a data folder. The operating system releases it when the
+// process ends, even after a crash.
 type Lock struct{ file *os.File }
 
-// LockDir makes the data folder if need be and locks it.
+// LockDir locks a data folder, and creates it if it does not exist.
 func LockDir(dir string) (*Lock, error) {
 	if err := makeDir(dir, syncDir); err != nil {
 		return nil, errors.Wrap(err, "data folder")
@@ -31,15 +31,15 @@
 		return nil, errors.Wrap(err, "data folder")
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return nil, errors.CombineErrors(refusal(dir, path, err), file.Close())
+		return nil, errors.CombineErrors(lockError(dir, path, err), file.Close())
 	}
-	if err := writeOwner(file); err != nil {
+	if err := writePID(file); err != nil {
 		return nil, errors.CombineErrors(errors.Wrap(err, "data folder"), file.Close())
 	}
 	return &Lock{file: file}, nil
 }
 
-func refusal(dir, path string, err error) error {
+func lockError(dir, path string, err error) error {
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
 		return errors.Wrapf(err, "lock data folder %s", dir)
 	}
@@ -47,8 +47,9 @@
 	return errors.Wrapf(ErrLocked, "data folder %s (process %s)", dir, strings.TrimSpace(string(owner)))
 }
 
-// writeOwner leaves the process id for who finds the folder locked.
-func writeOwner(file *os.File) error {
+// writePID writes the process ID to the lock file, for the error message of a process that
+// finds the folder locked.
+func writePID(file *os.File) error {
 	if err := file.Truncate(0); err != nil {
 		return err
 	}
@@ -56,7 +57,7 @@
 	return err
 }
 
-// Close gives the data folder free. A nil Lock has nothing to give.
+// Close releases the lock. It does nothing on a nil Lock.
 func (l *Lock) Close() error {
 	if l == nil {
 		return nil
--- a/internal/process/storage/log.go
+++ b/internal/process/storage/log.go
@@ -1,7 +1,8 @@
-// Package storage keeps a member's log on disk: an append-only file of synced
-// records, each with length and CRC-32C, rewritten when a snapshot replaces
-// most of it. A torn record at the end is cut at opening; a damaged record with
-// whole ones after it is refused, because accepted state would be missing.
+// Package storage implements the write-ahead log of a group member: an append-only
+// file of synced records, each with its length and a CRC-32C checksum. The log is
+// rewritten when a snapshot replaces most of it. Open truncates a torn record at the
+// end, but fails on a damaged record that is followed by valid ones, because accepted
+// state would be missing.
 package storage
 
 import (
@@ -16,22 +17,23 @@
 
 const (
 	logName = "log"
-	// newName is the log while it is rewritten; it counts only once renamed.
-	newName = "log.new"
+	// tempLogName is the file that a rewritten log is written to before it replaces
+	// the log by a rename.
+	tempLogName = "log.new"
 )
 
-// Log is the open log of one member. It is not safe for concurrent use.
+// Log is the open log of a member. It is not safe for concurrent use.
 type Log struct {
 	dir   Dir
 	file  File
 	syncs uint64
 	size  int64
-	// failed is the first error; nothing is written after it.
+	// failed is the first write error. Nothing is written after it.
 	failed error
 }
 
-// Open opens or creates the log in dir and returns what it held. A log without
-// a disk number, a new one that is, gets one at random.
+// Open opens or creates the log in dir and returns its content. A new log is assigned
+// a random disk ID.
 func Open(dir Dir) (*Log, replica.Restored, error) {
 	var restored replica.Restored
 	raw, err := dir.ReadFile(logName)
@@ -44,7 +46,7 @@
 	}
 	l := &Log{dir: dir}
 	if restored.Membership.Disk == 0 {
-		restored = replica.Restored{Membership: replica.Membership{Disk: newDisk()}}
+		restored = replica.Restored{Membership: replica.Membership{Disk: newDiskID()}}
 		return l, restored, l.Rewrite(restored)
 	}
 	if l.file, err = dir.OpenAt(logName, end); err != nil {
@@ -57,7 +59,7 @@
 	return l, restored, nil
 }
 
-func newDisk() uint64 {
+func newDiskID() uint64 {
 	var raw [8]byte
 	for {
 		_, _ = rand.Read(raw[:])
@@ -75,8 +77,8 @@
 	return nil
 }
 
-// Save appends what a Ready asks to persist and syncs it. After an error
-// nothing is written any more: what is on disk is then uncertain.
+// Save appends the state in r that must be persisted and syncs the log. After an error,
+// nothing more is written, because the content on disk is unknown.
 func (l *Log) Save(r replica.Ready) error {
 	if l.failed != nil || !r.Durable() {
 		return l.failed
@@ -86,29 +88,29 @@
 }
 
 func (l *Log) write(r replica.Ready) error {
-	frames, err := frames(record{
+	encoded, err := encodeRecords(record{
 		HardState: r.HardState, Membership: r.Membership, Snapshot: r.Snapshot, Entries: r.Entries,
 	})
 	if err != nil {
 		return err
 	}
-	if _, err := l.file.Write(frames); err != nil {
+	if _, err := l.file.Write(encoded); err != nil {
 		return errors.Wrap(err, "append to log")
 	}
-	l.size += int64(len(frames))
+	l.size += int64(len(encoded))
 	return l.sync()
 }
 
-// frames splits the entries of r over as many records as needed.
-func frames(r record) ([]byte, error) {
+// encodeRecords encodes r, and splits its entries into as many records as needed.
+func encodeRecords(r record) ([]byte, error) {
 	entries := r.Entries
 	var buf []byte
 	for {
-		n := prefix(entries)
+		n := entriesPerRecord(entries)
 		r.Entries = entries[:n]
 		entries = entries[n:]
 		var err error
-		if buf, err = r.frame(buf); err != nil {
+		if buf, err = r.appendTo(buf); err != nil {
 			return nil, err
 		}
 		if len(entries) == 0 {
@@ -118,20 +120,21 @@
 	}
 }
 
-// prefix is how many of the entries fit one record, at least one.
-func prefix(entries []replica.Entry) int {
+// entriesPerRecord returns the number of leading entries that fit into one record, at
+// least one.
+func entriesPerRecord(entries []replica.Entry) int {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Data)
-		if i > 0 && size > splitBytes {
+		if i > 0 && size > maxRecordBytes {
 			return i
 		}
 	}
 	return len(entries)
 }
 
-// Rewrite replaces the log by one that holds just this. It is atomic: a crash
-// leaves the old log or the new one.
+// Rewrite atomically replaces the content of the log with r: after a crash, the log has
+// either the old or the new content.
 func (l *Log) Rewrite(r replica.Restored) error {
 	if l.failed == nil {
 		l.failed = l.rewrite(r)
@@ -140,13 +143,13 @@
 }
 
 func (l *Log) rewrite(r replica.Restored) error {
-	frames, err := frames(record{
+	encoded, err := encodeRecords(record{
 		HardState: &r.HardState, Membership: &r.Membership, Snapshot: &r.Snapshot, Entries: r.Entries,
 	})
 	if err != nil {
 		return err
 	}
-	file, err := l.dir.Create(newName)
+	file, err := l.dir.Create(tempLogName)
 	if err != nil {
 		return errors.Wrap(err, "create log")
 	}
@@ -154,23 +157,23 @@
 		_ = l.file.Close()
 	}
 	l.file = file
-	if _, err := file.Write(frames); err != nil {
+	if _, err := file.Write(encoded); err != nil {
 		return errors.Wrap(err, "rewrite log")
 	}
 	if err := l.sync(); err != nil {
 		return err
 	}
-	if err := l.dir.Rename(newName, logName); err != nil {
+	if err := l.dir.Rename(tempLogName, logName); err != nil {
 		return errors.Wrap(err, "rename log")
 	}
-	l.size = int64(len(frames))
+	l.size = int64(len(encoded))
 	return errors.Wrap(l.dir.Sync(), "sync data folder")
 }
 
-// Syncs is the number of syncs of the log since Open.
+// Syncs returns the number of syncs of the log since Open.
 func (l *Log) Syncs() uint64 { return l.syncs }
 
-// Size is the length of the log in bytes.
+// Size returns the size of the log in bytes.
 func (l *Log) Size() int64 { return l.size }
 
 // Close closes the log.
--- a/internal/process/storage/log_test.go
+++ b/internal/process/storage/log_test.go
@@ -17,9 +17,9 @@
 	return Open(dir)
 }
 
-// TestEveryDamage cuts a log at each byte and flips each byte: a cut leaves the
-// records before it; a flip in any record but the last is refused with file and
-// offset; a flip in the last one is a torn tail.
+// TestEveryDamage truncates a log at each byte, and flips a bit in each byte. After a
+// truncation, the records before it remain. A flipped bit in any record but the last is
+// reported with file and offset; in the last record it is treated as a torn record.
 func TestEveryDamage(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestSnapshotDropsOlderEntries holds that a leader's snapshot also replaces
-// entries above its index: they may be of a leader that lost.
+// TestSnapshotDropsOlderEntries checks that a snapshot from the leader also replaces
+// entries above its index: they may be uncommitted entries of an earlier leader.
 func TestSnapshotDropsOlderEntries(t *testing.T) {
 	c := qt.New(t)
 	path := c.TempDir()
--- a/internal/process/storage/record.go
+++ b/internal/process/storage/record.go
@@ -11,18 +11,20 @@
 	"github.com/daisygate/daisygate/internal/process/replica"
 )
 
-// A record on disk is a frame of 12 bytes, little endian, and a CBOR body:
+// A record on disk consists of a header of 12 bytes, little endian, and a CBOR body. The
+// header is:
 //
 //	magic uint32, length of the body uint32, CRC-32C of length and body uint32
 const (
-	frameSize   = 12
-	lengthStart = 4
-	sumStart    = 8
-	// maxBody bounds a record's body: a larger one is damage.
-	maxBody = 1 << 30
-	// splitBytes bounds the entries put into one record.
-	splitBytes = 8 << 20
-	// MaxData bounds the data of one entry.
+	headerSize     = 12
+	lengthOffset   = 4
+	checksumOffset = 8
+	// maxBodyBytes is the maximum body size. A larger length indicates damage.
+	maxBodyBytes = 1 << 30
+	// maxRecordBytes bounds the total entry data in one record that has more than one
+	// entry.
+	maxRecordBytes = 8 << 20
+	// MaxData is the maximum size of the data of one entry.
 	MaxData = 48 << 20
 )
 
@@ -31,15 +33,16 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrDamaged is returned by Open for a damaged record that is not a torn tail.
+// ErrDamaged is returned by Open for a damaged record that is not a torn record at the
+// end.
 var ErrDamaged = errors.New("damaged record in the middle of the log: accepted state is missing here; " +
 	"move the folder away and start again, the other members repair this one")
 
-// ErrTooLarge is returned by Save for a record that could not be read again.
+// ErrTooLarge is returned by Save for a record that Open would reject.
 var ErrTooLarge = errors.New("record is too large")
 
-// record is one write: any of its parts may be absent. A Snapshot replaces
-// every entry before it, whatever its index.
+// record is one write to the log. All parts are optional. A Snapshot replaces all entries
+// in earlier records, whatever their index.
 type record struct {
 	HardState  *replica.HardState  `cbor:"1,keyasint,omitempty"`
 	Snapshot   *replica.Snapshot   `cbor:"2,keyasint,omitempty"`
@@ -47,13 +50,13 @@
 	Membership *replica.Membership `cbor:"4,keyasint,omitempty"`
 }
 
-// frame appends the record's bytes to buf.
-func (r *record) frame(buf []byte) ([]byte, error) {
+// appendTo appends the encoded record to buf.
+func (r *record) appendTo(buf []byte) ([]byte, error) {
 	body, err := cbor.Marshal(r)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode record")
 	}
-	if len(body) > maxBody {
+	if len(body) > maxBodyBytes {
 		return nil, errors.Wrapf(ErrTooLarge, "%d bytes", len(body))
 	}
 	start := len(buf)
@@ -61,38 +64,39 @@
 	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(body)))
 	buf = append(buf, 0, 0, 0, 0)
 	buf = append(buf, body...)
-	binary.LittleEndian.PutUint32(buf[start+sumStart:], checksum(buf[start:]))
+	binary.LittleEndian.PutUint32(buf[start+checksumOffset:], checksum(buf[start:]))
 	return buf, nil
 }
 
-// checksum covers the length and the body of a framed record.
-func checksum(framed []byte) uint32 {
-	sum := crc32.Update(0, castagnoli, framed[lengthStart:sumStart])
-	return crc32.Update(sum, castagnoli, framed[frameSize:])
+// checksum returns the checksum of the length and the body of an encoded record.
+func checksum(encoded []byte) uint32 {
+	sum := crc32.Update(0, castagnoli, encoded[lengthOffset:checksumOffset])
+	return crc32.Update(sum, castagnoli, encoded[headerSize:])
 }
 
-// next returns the body of the record at the start of raw, if it is whole, and
-// the size of the record.
-func next(raw []byte) (body []byte, size int64, ok bool) {
-	if len(raw) < frameSize || !bytes.Equal(raw[:lengthStart], magic) {
+// nextRecord returns the body and the total size of the record at the start of raw. It
+// returns false if there is no valid record.
+func nextRecord(raw []byte) (body []byte, size int64, ok bool) {
+	if len(raw) < headerSize || !bytes.Equal(raw[:lengthOffset], magic) {
 		return nil, 0, false
 	}
-	length := binary.LittleEndian.Uint32(raw[lengthStart:])
-	if length > maxBody || int(length) > len(raw)-frameSize {
+	length := binary.LittleEndian.Uint32(raw[lengthOffset:])
+	if length > maxBodyBytes || int(length) > len(raw)-headerSize {
 		return nil, 0, false
 	}
-	framed := raw[:frameSize+int(length)]
-	if checksum(framed) != binary.LittleEndian.Uint32(raw[sumStart:]) {
+	encoded := raw[:headerSize+int(length)]
+	if checksum(encoded) != binary.LittleEndian.Uint32(raw[checksumOffset:]) {
 		return nil, 0, false
 	}
-	return framed[frameSize:], int64(len(framed)), true
+	return encoded[headerSize:], int64(len(encoded)), true
 }
 
-// replay applies whole records to restored and returns where they end.
+// replay applies the valid records at the start of raw to restored, and returns the offset
+// at which they end.
 func replay(raw []byte, restored *replica.Restored) (int64, error) {
 	var end int64
 	for {
-		body, size, ok := next(raw[end:])
+		body, size, ok := nextRecord(raw[end:])
 		if !ok {
 			break
 		}
@@ -105,21 +109,22 @@
 		}
 		end += size
 	}
-	if wholeRecordAfter(raw[end:]) {
+	if hasValidRecordAfter(raw[end:]) {
 		return 0, errors.Wrapf(ErrDamaged, "offset %d", end)
 	}
 	return end, nil
 }
 
-// wholeRecordAfter looks for a whole record behind a damaged place.
-func wholeRecordAfter(raw []byte) bool {
+// hasValidRecordAfter reports whether a valid record follows the damaged data at the start
+// of raw.
+func hasValidRecordAfter(raw []byte) bool {
 	for len(raw) > 1 {
 		i := bytes.Index(raw[1:], magic)
 		if i < 0 {
 			return false
 		}
 		raw = raw[1+i:]
-		if _, _, ok := next(raw); ok {
+		if _, _, ok := nextRecord(raw); ok {
 			return true
 		}
 	}
@@ -145,7 +150,7 @@
 		first := restored.Snapshot.Index + 1
 		end := first + uint64(len(restored.Entries))
 		if e.Index < first || e.Index > end {
-			return errors.Wrapf(ErrDamaged, "entry %d where %d to %d may follow", e.Index, first, end)
+			return errors.Wrapf(ErrDamaged, "entry with index %d, want an index from %d to %d", e.Index, first, end)
 		}
 		restored.Entries = append(restored.Entries[:e.Index-first], e)
 	}
