--- a/internal/process/settings/check.go
+++ b/internal/process/settings/check.go
@@ -9,31 +9,32 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The bounds of the settings.
+// Bounds of the settings.
 const (
-	// MaxBytes is the most bytes of a settings file.
-	MaxBytes        = 256 << 10
-	maxSeeds        = 64
-	maxSources      = 7
-	maxLogLevel     = 9
-	minBytes        = 1 << 10
-	maxHeaderBytes  = 16 << 20
-	maxControlBytes = 1 << 30
-	maxConnections  = 1 << 20
-	maxQueuePerSlot = 1000
-	minTimeout      = 10 * time.Millisecond
-	maxTimeout      = time.Hour
-	maxStopTimeout  = 24 * time.Hour
-	maxRequestLines = 1 << 20
-	maxRetrySlack   = 1 << 20
-	maxHoldBytes    = 16 << 20
-	maxMemoryBytes  = 1 << 40
-	maxLinkBytes    = 1 << 40
-	minExposure     = 0.001
-	maxExposure     = 0.999
+	// MaxBytes is the maximum size of a settings file.
+	MaxBytes          = 256 << 10
+	maxSeeds          = 64
+	maxSources        = 7
+	maxLogLevel       = 9
+	minBytes          = 1 << 10
+	maxHeaderBytes    = 16 << 20
+	maxControlBytes   = 1 << 30
+	maxConnections    = 1 << 20
+	maxQueuePerSlot   = 1000
+	minTimeout        = 10 * time.Millisecond
+	maxTimeout        = time.Hour
+	maxStopTimeout    = 24 * time.Hour
+	maxLoggedRequests = 1 << 20
+	maxRetrySlack     = 1 << 20
+	maxHoldBytes      = 16 << 20
+	maxMemoryBytes    = 1 << 40
+	maxLinkBytes      = 1 << 40
+	minExposure       = 0.001
+	maxExposure       = 0.999
 )
 
-// check reports everything that is wrong with s beyond its form.
+// check adds a fault to d for each invalid value in s. Syntax and types are checked by
+// strictyaml.
 func (s *Settings) check(d *strictyaml.Document) {
 	d.Name("node", s.Node)
 	if s.Region != "" {
@@ -46,7 +47,7 @@
 	s.checkSource(d)
 	d.OneOf("log.format", s.Log.Format, LogJSON, LogText)
 	strictyaml.Range(d, "log.level", s.Log.Level, 0, maxLogLevel)
-	strictyaml.Range(d, "log.requests_per_second", s.Log.RequestsPerSecond, 0, maxRequestLines)
+	strictyaml.Range(d, "log.requests_per_second", s.Log.RequestsPerSecond, 0, maxLoggedRequests)
 	d.Duration("log.repeat_interval", s.Log.RepeatInterval, 0, maxTimeout)
 	strictyaml.Range(d, "trace.sample_ratio", s.Trace.SampleRatio, 0, 1)
 	s.Limits.check(d)
@@ -69,7 +70,7 @@
 	}
 	addrs := map[string]netip.AddrPort{}
 	for _, l := range listeners {
-		if l.addr == "" && s.mayLack(l.key) {
+		if l.addr == "" && s.isOptional(l.key) {
 			continue
 		}
 		addrs[l.key] = d.AddrPort(l.key, l.addr)
@@ -88,8 +89,8 @@
 	}
 }
 
-// mayLack reports whether a listener may be left out.
-func (s *Settings) mayLack(key string) bool {
+// isOptional reports whether the listener named by key may be omitted.
+func (s *Settings) isOptional(key string) bool {
 	switch key {
 	case "listen.control", "listen.health", "listen.metrics":
 		return true
@@ -133,17 +134,17 @@
 		}
 	}
 	if _, err := netip.ParseAddr(s.Node); s.Source.Join && err != nil {
-		d.Add("node", "want the IP number of listen.peer, for source.join is set, got %q", s.Node)
+		d.Add("node", "want the IP address of listen.peer because source.join is set, got %q", s.Node)
 	}
 	if s.IsSource() && s.DataDir == "" {
-		d.Add("data_dir", "is required on a source, which %q is", s.Node)
+		d.Add("data_dir", "is required because node %q is a source", s.Node)
 	}
 }
 
-// checkOdd reports a number of sources that is even; 0 is none.
+// checkOdd adds a fault if n, a number of sources, is even and not 0.
 func checkOdd(d *strictyaml.Document, key string, n int) {
 	if n != 0 && n%2 == 0 {
-		d.Add(key, "want an odd number, such as 3 or 5: of %d, as many may fail as of %d", n, n-1)
+		d.Add(key, "want an odd number, such as 3 or 5: %d sources tolerate no more failures than %d", n, n-1)
 	}
 }
 
--- a/internal/process/settings/settings_test.go
+++ b/internal/process/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"github.com/daisygate/daisygate/internal/strictyaml"
 )
 
-// TestFaults holds the faults of wrong settings, word for word with their
-// places.
+// TestFaults checks the exact messages and positions of the faults reported for
+// invalid settings.
 func TestFaults(t *testing.T) {
 	datadriven.Walk(t, "testdata/faults", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -25,14 +25,15 @@
 	})
 }
 
-// TestValidateBuiltInMemory holds that settings without a text are checked too.
+// TestValidateBuiltInMemory checks that Validate also finds the faults of settings that
+// were not parsed from YAML.
 func TestValidateBuiltInMemory(t *testing.T) {
 	c := qt.New(t)
 	set := Defaults()
 	c.Assert(set.Validate(), qt.ErrorMatches, "(?s)node: is required\ndomain: is required\nlisten.caller: .*")
 }
 
-// examplePaths lists the settings of every instance in the examples.
+// examplePaths returns the paths of the settings files in the examples directory.
 func examplePaths(f testing.TB) []string {
 	paths, err := filepath.Glob("../../../examples/settings/*/*.yaml")
 	if err != nil || len(paths) == 0 {
@@ -41,8 +42,8 @@
 	return paths
 }
 
-// FuzzParse holds that no text makes Parse panic, and that an error is always a
-// list of faults.
+// FuzzParse checks that no input makes Parse panic and that every error is a
+// strictyaml.Faults.
 func FuzzParse(f *testing.F) {
 	for _, path := range examplePaths(f)[:2] {
 		raw, err := os.ReadFile(path)
@@ -61,7 +62,7 @@
 		_, err := Parse(raw)
 		var faults strictyaml.Faults
 		if err != nil && !errors.As(err, &faults) {
-			t.Fatalf("%T is no Faults", err)
+			t.Fatalf("got error of type %T, want strictyaml.Faults", err)
 		}
 	})
 }
