--- a/internal/process/telemetry/change.go
+++ b/internal/process/telemetry/change.go
@@ -10,13 +10,12 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// spanVersion is the property that names a fleet version.
-const spanVersion = "daisygate.version"
+// versionAttribute is the span attribute that holds a fleet version.
+const versionAttribute = "daisygate.version"
 
-// Commit begins the span of a manifest's commit, within that of the operator's
-// request. The returned function ends it; with the fleet version that holds the
-// manifest, it links the request to the trace of that change. A nil Traces
-// records nothing.
+// Commit starts the span of the commit of a manifest, as a child of the span of the
+// operator's request. The returned function ends the span; if version is not 0, it also
+// links the span to the trace of that fleet version. A nil Traces records nothing.
 func (t *Traces) Commit(ctx context.Context) (context.Context, func(code result.Code, version uint64)) {
 	if t == nil {
 		return ctx, func(result.Code, uint64) {}
@@ -24,31 +23,31 @@
 	ctx, s := t.tracer.Start(ctx, "commit")
 	return ctx, func(code result.Code, version uint64) {
 		if version > 0 {
-			s.SetAttributes(attribute.Int64(spanVersion, int64(version)))
+			s.SetAttributes(attribute.Int64(versionAttribute, int64(version)))
 			s.AddLink(trace.Link{SpanContext: changeContext(version)})
 		}
 		span{s}.End(code)
 	}
 }
 
-// Install records that a fleet version came into force here. The spans of all
-// daemons for one version are in one trace, whose id follows from the version:
-// no trace context travels with versions.
+// Install records that this daemon put a fleet version in force. The spans of all daemons
+// for one version belong to the same trace, whose ID is derived from the version, so that
+// no trace context needs to be sent with versions. A nil Traces records nothing.
 func (t *Traces) Install(version uint64) {
 	if t == nil {
 		return
 	}
 	ctx := trace.ContextWithRemoteSpanContext(context.Background(), changeContext(version))
 	_, s := t.tracer.Start(ctx, "install")
-	s.SetAttributes(attribute.Int64(spanVersion, int64(version)))
+	s.SetAttributes(attribute.Int64(versionAttribute, int64(version)))
 	s.End()
 }
 
-// changePrefix is the first half of the trace id of each change.
+// changePrefix is the first half of the trace ID of each fleet version.
 const changePrefix = 0xda15_9a7e_0000_0000
 
-// changeContext is the root of the trace of a fleet version. It is sampled:
-// changes are few.
+// changeContext returns the root span context of the trace of a fleet version. It is
+// always sampled because changes are rare.
 func changeContext(version uint64) trace.SpanContext {
 	var id trace.TraceID
 	binary.BigEndian.PutUint64(id[:8], changePrefix)
--- a/internal/process/telemetry/health.go
+++ b/internal/process/telemetry/health.go
@@ -5,15 +5,16 @@
 	"net/http"
 )
 
-// The paths of health, which need no token.
+// Paths of the health endpoints, which require no token.
 const (
 	HealthPath = "/healthz"
 	ReadyPath  = "/readyz"
 )
 
-// WithHealth answers the health paths and leaves everything else to next.
-// /healthz says that the process answers; /readyz says whether it may get
-// requests, and if not, why: notReady returns the reason, or "".
+// WithHealth returns a handler that serves the health endpoints and passes all other
+// requests to next. /healthz reports that the process is alive. /readyz reports whether
+// it is ready for requests and, if not, the reason returned by notReady; notReady returns
+// "" if the process is ready.
 func WithHealth(next http.Handler, notReady func() string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -27,7 +28,7 @@
 	})
 }
 
-func writeHealth(w http.ResponseWriter, r *http.Request, fault string) {
+func writeHealth(w http.ResponseWriter, r *http.Request, reason string) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Cache-Control", "no-store")
@@ -36,10 +37,10 @@
 		w.WriteHeader(http.StatusMethodNotAllowed)
 		return
 	}
-	if fault == "" {
+	if reason == "" {
 		fmt.Fprintln(w, "ok")
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
-	fmt.Fprintln(w, "not ready:", fault)
+	fmt.Fprintln(w, "not ready:", reason)
 }
--- a/internal/process/telemetry/log.go
+++ b/internal/process/telemetry/log.go
@@ -1,6 +1,6 @@
-// Package telemetry builds what lets people see a daemon from outside:
-// structured logs, metrics, traces and health. The packages that decide know
-// nothing of it: they are asked through callbacks, or tell an observer.
+// Package telemetry implements the observability of a daemon: structured logs, metrics,
+// traces and health endpoints. Other packages do not depend on it: it reads their state
+// through callbacks, or implements the observer interfaces that they define.
 package telemetry
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/daisygate/daisygate/internal/process/settings"
 )
 
-// NewLog builds the logger that the settings ask for. out must be safe for
-// concurrent use, as a Sink is.
+// NewLog returns a logger configured by cfg that writes to out. out must be safe for
+// concurrent use, as Sink is.
 func NewLog(cfg settings.Log, out zapcore.WriteSyncer) (logr.Logger, error) {
 	return newLog(cfg, out)
 }
@@ -28,7 +28,7 @@
 	}
 	core := zapcore.NewCore(encoder, out, zap.NewAtomicLevelAt(zapcore.Level(-cfg.Level)))
 	if cfg.RepeatInterval > 0 {
-		core = newRepeats(core, cfg.RepeatInterval, time.Now)
+		core = newRateLimiter(core, cfg.RepeatInterval, time.Now)
 	}
 	return zapr.NewLogger(zap.New(core)), nil
 }
@@ -42,6 +42,6 @@
 	case settings.LogText:
 		return zapcore.NewConsoleEncoder(cfg), nil
 	default:
-		return nil, errors.Newf("log format %q", format)
+		return nil, errors.Newf("unknown log format %q", format)
 	}
 }
--- a/internal/process/telemetry/metrics.go
+++ b/internal/process/telemetry/metrics.go
@@ -14,36 +14,36 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// maxSeries bounds the label sets of one metric: routes and meshes come and go
-// with versions, and memory must not grow with them.
+// maxSeries bounds the number of label sets of one metric. Versions add and remove routes
+// and meshes, and memory use must not grow with every one that ever existed.
 const maxSeries = 4096
 
-// otherLabel stands for the routes beyond maxSeries.
+// otherLabel is the mesh and route label of all routes beyond maxSeries.
 const otherLabel = "other"
 
-// durationBounds are the bucket bounds of durations, in seconds.
-var durationBounds = []float64{
+// durationBuckets are the upper bounds of the histogram buckets, in seconds.
+var durationBuckets = []float64{
 	0.0005, 0.001, 0.0015, 0.002, 0.003, 0.005, 0.0075, 0.01, 0.025, 0.05,
 	0.1, 0.25, 0.5, 1, 2.5, 5, 10, 60, 600, 3600,
 }
 
-// Metrics is the metrics of one daemon; several daemons of one process each
-// have their own. It implements gateway.Observer.
+// Metrics holds the metrics of one daemon. If a process runs several daemons, each has
+// its own Metrics. It implements gateway.Observer.
 type Metrics struct {
-	set   *metrics.Set
-	state func() State
-	calls labelled[callKey, *metrics.Counter]
-	times labelled[routeKey, *metrics.PrometheusHistogram]
-	// attempts, retries and refused count by result code or route.
-	attempts     labelled[result.Code, *metrics.Counter]
-	retries      labelled[routeKey, *metrics.Counter]
-	refused      labelled[result.Code, *metrics.Counter]
-	attemptTimes *metrics.PrometheusHistogram
-	// orders and reads count what operators were told, by result code.
-	orders labelled[result.Code, *metrics.Counter]
-	reads  labelled[result.Code, *metrics.Counter]
-	// announcements count by what became of them.
-	announcements labelled[string, *metrics.Counter]
+	set           *metrics.Set
+	state         func() State
+	calls         metricCache[callKey, *metrics.Counter]
+	callDurations metricCache[routeKey, *metrics.PrometheusHistogram]
+	// attempts and refused count by result code, retries by route.
+	attempts         metricCache[result.Code, *metrics.Counter]
+	retries          metricCache[routeKey, *metrics.Counter]
+	refused          metricCache[result.Code, *metrics.Counter]
+	attemptDurations *metrics.PrometheusHistogram
+	// orders and reads count operator requests by the result code of the response.
+	orders metricCache[result.Code, *metrics.Counter]
+	reads  metricCache[result.Code, *metrics.Counter]
+	// announcements counts the announcements of backend servers by verdict.
+	announcements metricCache[string, *metrics.Counter]
 }
 
 type routeKey struct{ mesh, route string }
@@ -53,19 +53,19 @@
 	code result.Code
 }
 
-// NewMetrics returns the metrics of one daemon. What does not count up by
-// itself is read from state at each scrape.
+// NewMetrics returns the metrics of one daemon. Metrics that are not counted from events
+// are read from state at each scrape.
 func NewMetrics(state func() State) *Metrics {
 	set := metrics.NewSet()
 	m := &Metrics{
 		set: set, state: state,
-		attemptTimes: set.NewPrometheusHistogramExt("daisygate_attempt_duration_seconds", durationBounds),
+		attemptDurations: set.NewPrometheusHistogramExt("daisygate_attempt_duration_seconds", durationBuckets),
 	}
 	m.calls.make = func(k callKey) *metrics.Counter {
 		return set.GetOrCreateCounter(fmt.Sprintf("daisygate_calls_total{%s,code=%q}", k.labels(), codeLabel(k.code)))
 	}
-	m.times.make = func(k routeKey) *metrics.PrometheusHistogram {
-		return set.GetOrCreatePrometheusHistogramExt(fmt.Sprintf("daisygate_call_duration_seconds{%s}", k.labels()), durationBounds)
+	m.callDurations.make = func(k routeKey) *metrics.PrometheusHistogram {
+		return set.GetOrCreatePrometheusHistogramExt(fmt.Sprintf("daisygate_call_duration_seconds{%s}", k.labels()), durationBuckets)
 	}
 	m.retries.make = func(k routeKey) *metrics.Counter {
 		return set.GetOrCreateCounter(fmt.Sprintf("daisygate_retries_total{%s}", k.labels()))
@@ -89,7 +89,7 @@
 
 func (k routeKey) labels() string { return fmt.Sprintf("mesh=%q,route=%q", k.mesh, k.route) }
 
-// codeLabel is the three digits of a code.
+// codeLabel returns a code as a decimal number of at least three digits.
 func codeLabel(c result.Code) string {
 	text := strconv.Itoa(int(c))
 	return "000"[:max(3-len(text), 0)] + text
@@ -98,7 +98,7 @@
 // Attempt implements gateway.Observer.
 func (m *Metrics) Attempt(a gateway.Attempt) {
 	m.attempts.get(a.Code, a.Code).Inc()
-	m.attemptTimes.Update(a.Duration.Seconds())
+	m.attemptDurations.Update(a.Duration.Seconds())
 	if a.Number > 0 {
 		m.retries.get(routeKey{a.Mesh, a.Route}, routeKey{otherLabel, otherLabel}).Inc()
 	}
@@ -107,20 +107,20 @@
 // Refused implements gateway.Observer.
 func (m *Metrics) Refused(r gateway.Refused) { m.refused.get(r.Code, r.Code).Inc() }
 
-// Ordered counts an operator's order by what the operator was told.
+// Ordered counts a write request of an operator by the result code of the response.
 func (m *Metrics) Ordered(code result.Code) { m.orders.get(code, code).Inc() }
 
-// Read counts an operator's read by what the operator was told.
+// Read counts a read request of an operator by the result code of the response.
 func (m *Metrics) Read(code result.Code) { m.reads.get(code, code).Inc() }
 
-// Announced counts an announcement of a backend server by what became of it.
+// Announced counts an announcement of a backend server by its verdict.
 func (m *Metrics) Announced(verdict string) { m.announcements.get(verdict, verdict).Inc() }
 
 // Done implements gateway.Observer.
 func (m *Metrics) Done(d gateway.Done) {
 	route, other := routeKey{d.Mesh, d.Route}, routeKey{otherLabel, otherLabel}
 	m.calls.get(callKey{route, d.Code}, callKey{other, d.Code}).Inc()
-	m.times.get(route, other).Update(d.Duration.Seconds())
+	m.callDurations.get(route, other).Update(d.Duration.Seconds())
 }
 
 // ServeHTTP writes the metrics in the Prometheus text format.
@@ -130,24 +130,26 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// labelled finds the metric of a label set without building its name anew.
-type labelled[K comparable, M any] struct {
-	make  func(K) M
-	known sync.Map
-	size  atomic.Int64
+// metricCache caches the metrics of one name by label set, so that the full metric name is
+// formatted only once per label set.
+type metricCache[K comparable, M any] struct {
+	make     func(K) M
+	byLabels sync.Map
+	size     atomic.Int64
 }
 
-// get returns the metric of k, or that of other once there are maxSeries.
-func (l *labelled[K, M]) get(k, other K) M {
-	if found, ok := l.known.Load(k); ok {
+// get returns the metric of k. Once there are maxSeries metrics, it returns that of other
+// for each k that is not cached yet.
+func (c *metricCache[K, M]) get(k, other K) M {
+	if found, ok := c.byLabels.Load(k); ok {
 		return found.(M)
 	}
-	if l.size.Load() >= maxSeries {
+	if c.size.Load() >= maxSeries {
 		k = other
 	}
-	found, loaded := l.known.LoadOrStore(k, l.make(k))
+	found, loaded := c.byLabels.LoadOrStore(k, c.make(k))
 	if !loaded {
-		l.size.Add(1)
+		c.size.Add(1)
 	}
 	return found.(M)
 }
--- a/internal/process/telemetry/once.go
+++ b/internal/process/telemetry/once.go
@@ -6,17 +6,20 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// OnceState is what a daemon tells of idempotency keys and of suspects.
+// OnceState is the state of idempotency keys and of suspects, which are requests suspected
+// of crashing backend servers.
 type OnceState struct {
-	// Waiting counts ends of claimed requests that are not recorded yet.
+	// Waiting is the number of claimed requests that have ended but whose end is not yet
+	// recorded at the sources.
 	Waiting int
-	// Suspects counts the requests of the fleet that run alone or are refused.
+	// Suspects is the number of requests, known in the whole fleet, that are run alone on
+	// a server or refused.
 	Suspects int
-	// Table is nil on a daemon that is no source.
+	// Table is nil on a daemon that is not a source.
 	Table *ClaimTableState
 }
 
-// ClaimTableState is the table of claims on a source.
+// ClaimTableState is the state of the claim table of a source.
 type ClaimTableState struct {
 	Claims, Limit int
 	AnswerBytes   int
@@ -34,6 +37,6 @@
 		metrics.WriteGaugeUint64(w, "daisygate_claim_answer_bytes", uint64(t.AnswerBytes))
 		metrics.WriteCounterUint64(w, "daisygate_claim_syncs_total", t.Syncs)
 		metrics.WriteGaugeUint64(w, "daisygate_claim_log_bytes", uint64(t.LogBytes))
-		flag(w, "daisygate_claims_failed", t.Failed)
+		writeBool(w, "daisygate_claims_failed", t.Failed)
 	}
 }
--- a/internal/process/telemetry/repeats.go
+++ b/internal/process/telemetry/repeats.go
@@ -8,93 +8,93 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// RequestsLogger is the name of the logger whose lines are never held back here:
-// they are about single requests, and bounded by whoever writes them.
+// RequestsLogger is the name of the logger whose lines are never suppressed here: they are
+// about individual requests and rate-limited by the code that writes them.
 const RequestsLogger = "requests"
 
-// OperatorsLogger and SourceLogger are the names of the loggers that tell what operators
-// asked for and what the sources accepted. Who reads them afterwards looks for one
-// version among all: they take changesBurst lines.
+// OperatorsLogger and SourceLogger are the names of the loggers for the requests of
+// operators and the versions accepted by the sources. Readers of the log search them for
+// individual versions, so they have the higher limit changesBurst.
 const (
 	OperatorsLogger = "operators"
 	SourceLogger    = "source"
 )
 
 const (
-	// repeatBurst is how many lines of one message an interval takes.
+	// repeatBurst is the number of lines with the same message written per interval.
 	repeatBurst = 10
-	// changesBurst is repeatBurst for the loggers of changes: ten changes a second over
-	// the default interval, three times what pipelines without a pause between two
-	// changes reach, and 30 KB of log.
+	// changesBurst replaces repeatBurst for OperatorsLogger and SourceLogger. It allows
+	// ten changes per second over the default interval, three times the rate of a
+	// pipeline that submits changes without a pause, and 30 KB of log.
 	changesBurst = 100
-	// maxMessages bounds the messages remembered. Messages are constants of the
+	// maxMessages bounds the number of messages tracked. Messages are constants in the
 	// code, so there are fewer.
 	maxMessages = 1024
 )
 
-// repeats is a zapcore.Core that writes one message of one logger at most
-// repeatBurst times an interval. The first line after that tells how many were
-// held back. zap's own sampler loses that number.
-type repeats struct {
+// rateLimiter is a zapcore.Core that writes the same message of the same logger at most
+// repeatBurst times per interval. The first line in the next interval reports how many were
+// suppressed, a number that zap's own sampler does not keep.
+type rateLimiter struct {
 	zapcore.Core
 	interval time.Duration
 	now      func() time.Time
-	shared   *repeatState
+	shared   *messageCounts
 }
 
-type repeatState struct {
+type messageCounts struct {
 	mu       sync.Mutex
-	messages map[repeatKey]*repeatCount
+	messages map[messageKey]*messageCount
 }
 
-type repeatKey struct {
+type messageKey struct {
 	level           zapcore.Level
 	logger, message string
 }
 
-type repeatCount struct {
-	since    time.Time
-	lines    int
-	heldBack int
+type messageCount struct {
+	start      time.Time
+	lines      int
+	suppressed int
 }
 
-func newRepeats(core zapcore.Core, interval time.Duration, now func() time.Time) *repeats {
-	return &repeats{Core: core, interval: interval, now: now, shared: &repeatState{messages: map[repeatKey]*repeatCount{}}}
+func newRateLimiter(core zapcore.Core, interval time.Duration, now func() time.Time) *rateLimiter {
+	return &rateLimiter{Core: core, interval: interval, now: now, shared: &messageCounts{messages: map[messageKey]*messageCount{}}}
 }
 
 // With implements zapcore.Core.
-func (r *repeats) With(fields []zapcore.Field) zapcore.Core {
-	clone := *r
-	clone.Core = r.Core.With(fields)
+func (l *rateLimiter) With(fields []zapcore.Field) zapcore.Core {
+	clone := *l
+	clone.Core = l.Core.With(fields)
 	return &clone
 }
 
 // Check implements zapcore.Core.
-func (r *repeats) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if r.Enabled(e.Level) {
-		return ce.AddCore(e, r)
+func (l *rateLimiter) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if l.Enabled(e.Level) {
+		return ce.AddCore(e, l)
 	}
 	return ce
 }
 
 // Write implements zapcore.Core.
-func (r *repeats) Write(e zapcore.Entry, fields []zapcore.Field) error {
+func (l *rateLimiter) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	if e.LoggerName == RequestsLogger {
-		return r.Core.Write(e, fields)
+		return l.Core.Write(e, fields)
 	}
-	heldBack, write := r.shared.count(repeatKey{e.Level, e.LoggerName, e.Message}, r.now(), r.interval)
+	suppressed, write := l.shared.count(messageKey{e.Level, e.LoggerName, e.Message}, l.now(), l.interval)
 	if !write {
 		return nil
 	}
-	if heldBack > 0 {
-		fields = append(fields, zap.Int("held_back", heldBack))
+	if suppressed > 0 {
+		fields = append(fields, zap.Int("held_back", suppressed))
 	}
-	return r.Core.Write(e, fields)
+	return l.Core.Write(e, fields)
 }
 
-// count counts a line in. It reports whether the line is written, and how many
-// were held back before it.
-func (s *repeatState) count(key repeatKey, now time.Time, interval time.Duration) (heldBack int, write bool) {
+// count counts a line. It reports whether the line must be written and how many were
+// suppressed before it.
+func (s *messageCounts) count(key messageKey, now time.Time, interval time.Duration) (suppressed int, write bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.messages[key]
@@ -102,22 +102,23 @@
 		if len(s.messages) >= maxMessages {
 			clear(s.messages)
 		}
-		c = &repeatCount{since: now}
+		c = &messageCount{start: now}
 		s.messages[key] = c
 	}
-	if now.Sub(c.since) >= interval {
-		heldBack = c.heldBack
-		*c = repeatCount{since: now}
+	if now.Sub(c.start) >= interval {
+		suppressed = c.suppressed
+		*c = messageCount{start: now}
 	}
 	if c.lines >= burstOf(key.logger) {
-		c.heldBack++
+		c.suppressed++
 		return 0, false
 	}
 	c.lines++
-	return heldBack, true
+	return suppressed, true
 }
 
-// burstOf is how many lines of one message of a logger an interval takes.
+// burstOf returns the number of lines with the same message that a logger may write per
+// interval.
 func burstOf(logger string) int {
 	if logger == OperatorsLogger || logger == SourceLogger {
 		return changesBurst
--- a/internal/process/telemetry/rollout.go
+++ b/internal/process/telemetry/rollout.go
@@ -10,25 +10,26 @@
 	"github.com/daisygate/daisygate/internal/request/canary"
 )
 
-// The values of the side label: the version before, and the one under roll-out.
+// Values of the side label: the version in use before the roll-out and the version that is
+// rolled out.
 const (
 	sideBase   = "base"
 	sideTarget = "target"
 )
 
-// writeRollout tells what this daemon has met of one roll-out.
+// writeRollout writes this daemon's metrics of one roll-out.
 func writeRollout(w io.Writer, t gateway.ServiceTally) {
-	label := fmt.Sprintf("mesh=%q,service=%q", t.Key.Mesh, t.Key.Name)
-	metrics.WriteGaugeUint64(w, "daisygate_rollout_number{"+label+"}", t.Number)
-	metrics.WriteGaugeUint64(w, "daisygate_rollout_spent{"+label+"}", t.Tally.Spent)
-	metrics.WriteGaugeUint64(w, "daisygate_rollout_reached{"+label+"}", t.Tally.Reached)
-	flag(w, "daisygate_rollout_tripped{"+label+"}", t.Tripped != "")
+	labels := fmt.Sprintf("mesh=%q,service=%q", t.Key.Mesh, t.Key.Name)
+	metrics.WriteGaugeUint64(w, "daisygate_rollout_number{"+labels+"}", t.Number)
+	metrics.WriteGaugeUint64(w, "daisygate_rollout_spent{"+labels+"}", t.Tally.Spent)
+	metrics.WriteGaugeUint64(w, "daisygate_rollout_reached{"+labels+"}", t.Tally.Reached)
+	writeBool(w, "daisygate_rollout_tripped{"+labels+"}", t.Tripped != "")
 	for route, pair := range t.Tally.Routes {
 		for side, c := range map[string]canary.Counts{sideBase: pair.Base, sideTarget: pair.Target} {
-			of := fmt.Sprintf("{%s,route=%q,side=%q}", label, route, side)
-			metrics.WriteGaugeUint64(w, "daisygate_rollout_answers"+of, c.Answers)
-			metrics.WriteGaugeUint64(w, "daisygate_rollout_failed"+of, c.Failed)
-			metrics.WriteGaugeFloat64(w, "daisygate_rollout_busy_seconds"+of, c.Busy.Seconds())
+			sideLabels := fmt.Sprintf("{%s,route=%q,side=%q}", labels, route, side)
+			metrics.WriteGaugeUint64(w, "daisygate_rollout_answers"+sideLabels, c.Answers)
+			metrics.WriteGaugeUint64(w, "daisygate_rollout_failed"+sideLabels, c.Failed)
+			metrics.WriteGaugeFloat64(w, "daisygate_rollout_busy_seconds"+sideLabels, c.Busy.Seconds())
 		}
 	}
 }
--- a/internal/process/telemetry/sink.go
+++ b/internal/process/telemetry/sink.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// sinkLines is how many lines wait for a reader of the log that stalls; more
-	// are dropped and counted.
+	// sinkLines is the number of lines buffered while the reader of the log stalls;
+	// further lines are dropped and counted.
 	sinkLines = 4096
-	// sinkFlush bounds the wait for the last lines at the end.
-	sinkFlush = time.Second
+	// sinkFlushTimeout bounds the time that Close waits for the buffered lines to be
+	// written.
+	sinkFlushTimeout = time.Second
 )
 
-// Sink writes lines in the background, so that whoever logs never waits for
-// whoever reads the log. It implements zapcore.WriteSyncer.
+// Sink writes log lines in the background, so that a slow reader of the log never blocks
+// the code that logs. It implements zapcore.WriteSyncer.
 type Sink struct {
 	lines   chan []byte
 	done    chan struct{}
@@ -25,7 +26,7 @@
 	dropped atomic.Uint64
 }
 
-// NewSink returns a Sink on out. Close ends it.
+// NewSink returns a Sink that writes to out until Close is called.
 func NewSink(out io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, sinkLines), done: make(chan struct{})}
 	go s.run(out)
@@ -38,12 +39,12 @@
 		if n := s.dropped.Swap(0); n > 0 {
 			line = append(line, fmt.Sprintf("{\"level\":\"warn\",\"msg\":\"log lines dropped: the reader is too slow\",\"lines\":%d}\n", n)...)
 		}
-		// There is nobody to tell of a failure but by this log.
+		// This log is the only place where the failure could be reported.
 		_, _ = out.Write(line)
 	}
 }
 
-// Write implements io.Writer. It never blocks and never fails.
+// Write implements io.Writer. It never blocks and never returns an error.
 func (s *Sink) Write(p []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), p...):
@@ -56,11 +57,12 @@
 // Sync implements zapcore.WriteSyncer.
 func (s *Sink) Sync() error { return nil }
 
-// Close writes what waits, for a short while. Nothing may be written after.
+// Close writes the buffered lines, for at most sinkFlushTimeout. Write must not be called
+// after Close.
 func (s *Sink) Close() {
 	s.close.Do(func() { close(s.lines) })
 	select {
 	case <-s.done:
-	case <-time.After(sinkFlush):
+	case <-time.After(sinkFlushTimeout):
 	}
 }
--- a/internal/process/telemetry/sink_test.go
+++ b/internal/process/telemetry/sink_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// gatedWriter writes nothing until its gate opens.
+// gatedWriter blocks all writes until gate is closed.
 type gatedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -23,8 +23,9 @@
 	return w.text.Write(p)
 }
 
-// TestStalledReaderBlocksNothing logs far more than the sink holds to a reader
-// that takes nothing: no call waits, and what was dropped is counted later.
+// TestStalledReaderBlocksNothing checks that logging more lines than the sink buffers does
+// not block while the reader of the log stalls, and that the dropped lines are reported
+// afterwards.
 func TestStalledReaderBlocksNothing(t *testing.T) {
 	c := qt.New(t)
 	w := &gatedWriter{gate: make(chan struct{})}
--- a/internal/process/telemetry/state.go
+++ b/internal/process/telemetry/state.go
@@ -10,62 +10,64 @@
 	"github.com/daisygate/daisygate/internal/connection/gateway"
 )
 
-// State is what a daemon tells of itself at a scrape.
+// State is the state of a daemon at the time of a scrape.
 type State struct {
-	// Uptime is the time since the daemon began.
+	// Uptime is the time since the daemon started.
 	Uptime time.Duration
-	// Ready, Stale and Leaving are as at /readyz.
+	// Ready, Stale and Leaving have the same meaning as at /readyz.
 	Ready, Stale, Leaving bool
-	// Version is the fleet version in force here, Committed the newest that the
-	// sources' heartbeat told of.
+	// Version is the fleet version in force on this daemon. Committed is the newest
+	// version announced by the heartbeat of the sources.
 	Version, Committed uint64
-	// Depth is the number of hops to the leader. InForce of Fleet daemons have
-	// the newest version, as far as is known here. Diverged counts daemons found
-	// with other content under the same version, which must never happen.
+	// Depth is the number of hops to the leader. InForce is the number of daemons, out of
+	// Fleet, that have the newest version, as far as this daemon knows. Diverged is the
+	// number of daemons found with different content under the same version, which must
+	// never happen.
 	Depth, InForce, Fleet int
 	Diverged              uint64
-	// Links counts the links to other daemons, Nodes the daemons known, Servers
-	// the backend servers beside this daemon.
+	// Links is the number of links to other daemons, Nodes the number of known daemons,
+	// Servers the number of local backend servers.
 	Links, Nodes, Servers int
-	// ControlSent and ControlReceived are control bytes since the start.
+	// ControlSent and ControlReceived are the bytes of control messages since the start.
 	ControlSent, ControlReceived uint64
-	// Backends is how full the backend servers beside this daemon are.
+	// Backends is the occupancy of the local backend servers.
 	Backends []gateway.Occupancy
-	// Budgets is what is spent on repeats, by service.
+	// Budgets is the state of the retry budget of each service.
 	Budgets []gateway.ServiceBudget
-	// Listeners is the connections of each listener.
+	// Listeners holds the connection counts of each listener.
 	Listeners []ListenerState
-	// Source is nil on a daemon that is no source.
+	// Source is nil on a daemon that is not a source.
 	Source *SourceState
-	// Rollouts are those that run.
+	// Rollouts are the roll-outs in progress.
 	Rollouts []gateway.ServiceTally
-	// Once is about idempotency keys and suspects.
+	// Once is the state of idempotency keys and suspects.
 	Once OnceState
 }
 
-// ListenerState is the connections of one listener.
+// ListenerState holds the connection counts of one listener.
 type ListenerState struct {
 	Name        string
 	Open, Limit int
-	// Refused counts the connections turned away since the start.
+	// Refused is the number of connections refused since the start.
 	Refused uint64
 }
 
-// SourceState is the replicated log of a source.
+// SourceState is the state of the replicated log of a source.
 type SourceState struct {
 	Role         string
 	Term, Commit uint64
-	// Syncs counts disk syncs since the start.
+	// Syncs is the number of disk syncs since the start.
 	Syncs    uint64
 	LogBytes int64
-	// Entries and EntryBytes count what was applied of the log since the start, and
-	// ApplyTime what that took; Snapshots counts those written since.
+	// Entries and EntryBytes are the number and the bytes of the log entries applied since
+	// the start, ApplyTime the time spent applying them. Snapshots is the number of
+	// snapshots written since the start.
 	Entries, EntryBytes uint64
 	ApplyTime           time.Duration
 	Snapshots           uint64
 	// SnapshotBytes is the size of the newest snapshot.
 	SnapshotBytes int
-	// Failed is set while the source can't write.
+	// Failed is true while the source cannot write to its disk.
 	Failed bool
 }
 
@@ -74,9 +76,9 @@
 
 func (s State) write(w io.Writer) {
 	metrics.WriteGaugeFloat64(w, "daisygate_uptime_seconds", s.Uptime.Seconds())
-	flag(w, "daisygate_ready", s.Ready)
-	flag(w, "daisygate_stale", s.Stale)
-	flag(w, "daisygate_leaving", s.Leaving)
+	writeBool(w, "daisygate_ready", s.Ready)
+	writeBool(w, "daisygate_stale", s.Stale)
+	writeBool(w, "daisygate_leaving", s.Leaving)
 	metrics.WriteGaugeUint64(w, "daisygate_version_in_force", s.Version)
 	metrics.WriteGaugeUint64(w, "daisygate_version_committed", s.Committed)
 	metrics.WriteGaugeUint64(w, "daisygate_hops_to_leader", uint64(s.Depth))
@@ -109,25 +111,25 @@
 }
 
 func writeBackend(w io.Writer, b gateway.Occupancy) {
-	label := fmt.Sprintf("{server=%q}", b.Server)
-	metrics.WriteGaugeUint64(w, "daisygate_backend_slots_in_use"+label, uint64(b.Running))
-	metrics.WriteGaugeUint64(w, "daisygate_backend_slots_limit"+label, uint64(b.Slots))
-	metrics.WriteGaugeUint64(w, "daisygate_backend_queue_length"+label, uint64(b.Queued))
-	metrics.WriteGaugeFloat64(w, "daisygate_backend_load_per_slot"+label, b.Load)
-	metrics.WriteCounterUint64(w, "daisygate_backend_requests_total"+label, b.Requests)
-	metrics.WriteCounterUint64(w, "daisygate_backend_repeats_total"+label, b.Repeats)
+	labels := fmt.Sprintf("{server=%q}", b.Server)
+	metrics.WriteGaugeUint64(w, "daisygate_backend_slots_in_use"+labels, uint64(b.Running))
+	metrics.WriteGaugeUint64(w, "daisygate_backend_slots_limit"+labels, uint64(b.Slots))
+	metrics.WriteGaugeUint64(w, "daisygate_backend_queue_length"+labels, uint64(b.Queued))
+	metrics.WriteGaugeFloat64(w, "daisygate_backend_load_per_slot"+labels, b.Load)
+	metrics.WriteCounterUint64(w, "daisygate_backend_requests_total"+labels, b.Requests)
+	metrics.WriteCounterUint64(w, "daisygate_backend_repeats_total"+labels, b.Repeats)
 }
 
 func writeBudget(w io.Writer, b gateway.ServiceBudget) {
-	label := fmt.Sprintf("{mesh=%q,service=%q}", b.Key.Mesh, b.Key.Name)
-	metrics.WriteCounterUint64(w, "daisygate_repeats_allowed_total"+label, b.Taken)
-	metrics.WriteCounterUint64(w, "daisygate_repeats_denied_total"+label, b.Denied)
-	metrics.WriteGaugeFloat64(w, "daisygate_repeats_slack"+label, b.Slack)
+	labels := fmt.Sprintf("{mesh=%q,service=%q}", b.Key.Mesh, b.Key.Name)
+	metrics.WriteCounterUint64(w, "daisygate_repeats_allowed_total"+labels, b.Taken)
+	metrics.WriteCounterUint64(w, "daisygate_repeats_denied_total"+labels, b.Denied)
+	metrics.WriteGaugeFloat64(w, "daisygate_repeats_slack"+labels, b.Slack)
 }
 
 func (s *SourceState) write(w io.Writer) {
 	for _, role := range sourceRoles {
-		flag(w, fmt.Sprintf("daisygate_source_role{role=%q}", role), s.Role == role)
+		writeBool(w, fmt.Sprintf("daisygate_source_role{role=%q}", role), s.Role == role)
 	}
 	metrics.WriteGaugeUint64(w, "daisygate_source_term", s.Term)
 	metrics.WriteGaugeUint64(w, "daisygate_source_commit_index", s.Commit)
@@ -138,12 +140,12 @@
 	metrics.WriteCounterFloat64(w, "daisygate_source_apply_seconds_total", s.ApplyTime.Seconds())
 	metrics.WriteCounterUint64(w, "daisygate_source_snapshots_total", s.Snapshots)
 	metrics.WriteGaugeUint64(w, "daisygate_source_snapshot_bytes", uint64(s.SnapshotBytes))
-	flag(w, "daisygate_source_failed", s.Failed)
+	writeBool(w, "daisygate_source_failed", s.Failed)
 }
 
-func flag(w io.Writer, name string, on bool) {
+func writeBool(w io.Writer, name string, v bool) {
 	value := uint64(0)
-	if on {
+	if v {
 		value = 1
 	}
 	metrics.WriteGaugeUint64(w, name, value)
--- a/internal/process/telemetry/telemetry_test.go
+++ b/internal/process/telemetry/telemetry_test.go
@@ -36,13 +36,14 @@
 	c.Assert(line["msg"], qt.Equals, "link up")
 }
 
-// TestRepeatsAreHeldBack holds that one message can't fill the log, that others
-// are written meanwhile, and that the number held back is told.
+// TestRepeatsAreHeldBack checks that a repeated message is limited to repeatBurst lines,
+// that other messages are still written, and that the number of suppressed lines is
+// reported.
 func TestRepeatsAreHeldBack(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
-	s := repeatState{messages: map[repeatKey]*repeatCount{}}
-	loud, quiet := repeatKey{message: "loud"}, repeatKey{message: "quiet"}
+	s := messageCounts{messages: map[messageKey]*messageCount{}}
+	loud, quiet := messageKey{message: "loud"}, messageKey{message: "quiet"}
 	written := 0
 	for range 1000 {
 		if _, write := s.count(loud, now, time.Second); write {
@@ -52,19 +53,20 @@
 	c.Assert(written, qt.Equals, repeatBurst)
 	_, write := s.count(quiet, now, time.Second)
 	c.Assert(write, qt.IsTrue)
-	heldBack, write := s.count(loud, now.Add(time.Second), time.Second)
+	suppressed, write := s.count(loud, now.Add(time.Second), time.Second)
 	c.Assert(write, qt.IsTrue)
-	c.Assert(heldBack, qt.Equals, 1000-repeatBurst)
+	c.Assert(suppressed, qt.Equals, 1000-repeatBurst)
 }
 
-// TestChangesAreNotHeldBack holds that each of three changes a second has its line: in the
-// log of a source 13 of 31 accepted versions were missing, among them the ones asked for.
+// TestChangesAreNotHeldBack checks that three changes per second are all logged. With the
+// ordinary limit, the log of a source lacked 13 of 31 accepted versions, among them the
+// ones that were searched for.
 func TestChangesAreNotHeldBack(t *testing.T) {
 	c := qt.New(t)
 	const interval = 10 * time.Second
 	for _, logger := range []string{OperatorsLogger, SourceLogger} {
-		s := repeatState{messages: map[repeatKey]*repeatCount{}}
-		key := repeatKey{logger: logger, message: "accepted"}
+		s := messageCounts{messages: map[messageKey]*messageCount{}}
+		key := messageKey{logger: logger, message: "accepted"}
 		for i := range 90 {
 			_, write := s.count(key, time.Unix(0, 0).Add(time.Duration(i)*time.Second/3), interval)
 			c.Check(write, qt.IsTrue, qt.Commentf("%s, line %d", logger, i))
@@ -77,8 +79,8 @@
 	}
 }
 
-// TestMetrics holds the names of the metrics, and that two daemons of a process
-// don't share them.
+// TestMetrics checks the names and values of the metrics, and that two daemons in one
+// process do not share them.
 func TestMetrics(t *testing.T) {
 	c := qt.New(t)
 	state := State{
@@ -137,7 +139,8 @@
 	return w.Body.String()
 }
 
-// TestMetricsPage holds docs/METRICS.md to the names that a daemon writes.
+// TestMetricsPage checks that docs/METRICS.md documents exactly the metrics that a daemon
+// writes.
 func TestMetricsPage(t *testing.T) {
 	c := qt.New(t)
 	m := NewMetrics(func() State {
--- a/internal/process/telemetry/trace.go
+++ b/internal/process/telemetry/trace.go
@@ -21,12 +21,12 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// tracerName names the instrumentation in each span.
+// tracerName is the instrumentation scope of each span.
 const tracerName = "github.com/daisygate/daisygate"
 
-// Traces writes a span for each hop to a file, one JSON object a line. It
-// implements gateway.Tracer. The trace context travels between processes in the
-// traceparent header (W3C Trace Context).
+// Traces writes a span for each hop to a file, one JSON object per line. It implements
+// gateway.Tracer. The trace context is propagated between processes in the traceparent
+// header (W3C Trace Context).
 type Traces struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
@@ -34,8 +34,8 @@
 	file     *os.File
 }
 
-// OpenTraces opens the file that the settings name; without one it returns nil,
-// and nothing is spent on spans. The file is appended to.
+// OpenTraces opens the file named by cfg for appending. If cfg names no file, it returns
+// nil, and no spans are created.
 func OpenTraces(cfg settings.Trace, node, domain string, log logr.Logger) (*Traces, error) {
 	if cfg.File == "" {
 		return nil, nil
@@ -49,7 +49,7 @@
 		return nil, errors.CombineErrors(errors.Wrap(err, "trace exporter"), file.Close())
 	}
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(loggedExporter{exporter, log}),
+		sdktrace.WithBatcher(loggingExporter{exporter, log}),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(cfg.SampleRatio))),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "daisygate"),
@@ -60,8 +60,7 @@
 	return &Traces{provider: provider, tracer: provider.Tracer(tracerName), file: file}, nil
 }
 
-// Close writes what was not yet written and closes the file. A nil Traces has
-// nothing to close.
+// Close flushes the remaining spans and closes the file. It is a no-op on a nil Traces.
 func (t *Traces) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
@@ -83,7 +82,7 @@
 	return span{s}
 }
 
-// span joins gateway.Span to a span of OpenTelemetry.
+// span adapts an OpenTelemetry span to gateway.Span.
 type span struct{ trace.Span }
 
 // Set implements gateway.Span.
@@ -98,23 +97,23 @@
 	s.Span.End()
 }
 
-// loggedExporter logs a failed export, which the SDK would tell only a handler
-// that all daemons of a process share.
-type loggedExporter struct {
+// loggingExporter logs failed exports. The SDK reports them only to an error handler that
+// all daemons of a process share.
+type loggingExporter struct {
 	sdktrace.SpanExporter
 	log logr.Logger
 }
 
 // ExportSpans implements sdktrace.SpanExporter.
-func (e loggedExporter) ExportSpans(ctx context.Context, spans []sdktrace.ReadOnlySpan) error {
+func (e loggingExporter) ExportSpans(ctx context.Context, spans []sdktrace.ReadOnlySpan) error {
 	if err := e.SpanExporter.ExportSpans(ctx, spans); err != nil {
 		e.log.Error(err, "spans lost", "spans", len(spans))
 	}
 	return nil
 }
 
-// CodeOf is the result code in the header of an answer. An answer without one
-// counts as OK.
+// CodeOf returns the result code in the header of a response. A response without a valid
+// code counts as OK.
 func CodeOf(h http.Header) result.Code {
 	code, err := strconv.ParseUint(h.Get(result.HeaderResult), 10, 16)
 	if err != nil {
