--- a/internal/process/membership/check_test.go
+++ b/internal/process/membership/check_test.go
@@ -8,10 +8,12 @@
 	"github.com/daisygate/daisygate/internal/process/presence"
 )
 
-// check returns what is wrong with a fleet that has had time to settle.
+// check returns the first violated invariant of a fleet that is expected to have converged,
+// or nil: the links form a valid overlay, and every live daemon has exactly the newest
+// record of each live daemon.
 func (s *sim) check() error {
-	if s.fault != "" {
-		return fmt.Errorf("%s", s.fault)
+	if s.violation != "" {
+		return fmt.Errorf("%s", s.violation)
 	}
 	live := s.live()
 	if err := s.checkOverlay(live); err != nil {
@@ -22,22 +24,22 @@
 			return fmt.Errorf("%s knows %d records, want %d", n.node.Name, got, len(live))
 		}
 	}
-	want := s.owned(live)
+	want := s.expectedTable(live)
 	for _, n := range live {
-		if got := table(n); got != want {
+		if got := formatTable(n); got != want {
 			return fmt.Errorf("%s knows\n%s\nwant\n%s", n.node.Name, got, want)
 		}
 	}
 	return nil
 }
 
-// owned is the table made of every live daemon's own record.
-func (s *sim) owned(live []*simNode) string {
+// expectedTable returns the table formed by each live daemon's record of itself.
+func (s *sim) expectedTable(live []*simNode) string {
 	var lines []string
 	for _, n := range live {
 		for _, r := range n.core.Presence().All() {
 			if r.Node.Name == n.node.Name {
-				lines = append(lines, line(*r))
+				lines = append(lines, formatRecord(*r))
 			}
 		}
 	}
@@ -45,20 +47,21 @@
 	return strings.Join(lines, "\n")
 }
 
-func table(n *simNode) string {
+func formatTable(n *simNode) string {
 	var lines []string
 	for _, r := range n.core.Presence().Records() {
-		lines = append(lines, line(r))
+		lines = append(lines, formatRecord(r))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "\n")
 }
 
-func line(r presence.Record) string {
+func formatRecord(r presence.Record) string {
 	return fmt.Sprintf("%s %s %d/%d leaving=%t servers=%d", r.Node.Name, r.Node.Addr, r.Incarnation, r.Seq, r.Leaving, len(r.Servers))
 }
 
-// checkOverlay wants links that are symmetric, bounded and connect everyone.
+// checkOverlay checks that all links are symmetric, lead to live daemons and connect all of
+// them. The bound on the number of links is checked by sim.deliver.
 func (s *sim) checkOverlay(live []*simNode) error {
 	if len(live) == 0 {
 		return nil
@@ -77,7 +80,7 @@
 				return fmt.Errorf("%s is linked to %s, which is gone", n.node.Name, l.Name)
 			}
 			if _, back := other.core.Link(n.node.Name); !back {
-				return fmt.Errorf("%s is linked to %s, not the other way", n.node.Name, l.Name)
+				return fmt.Errorf("%s is linked to %s, but not vice versa", n.node.Name, l.Name)
 			}
 			if !reached[l.Name] {
 				reached[l.Name] = true
--- a/internal/process/membership/faults_test.go
+++ b/internal/process/membership/faults_test.go
@@ -11,16 +11,16 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// settleTime is how long a fleet without faults gets to agree. As links may
-// change hands at any moment, it is then looked at a few times.
+// settleTime is how long a fleet without faults gets to converge. Because links may be
+// replaced at any moment, the fleet is then checked up to maxChecks times.
 const (
 	settleTime = 60 * time.Second
-	looks      = 20
+	maxChecks  = 20
 )
 
-// TestFaults draws faults at random. Once they stop, links are symmetric,
-// bounded and connect everyone, and every daemon holds exactly the newest
-// record of each live one; at no time is a record replaced by an older one.
+// TestFaults injects random faults. After they stop, links must be symmetric, bounded and
+// connect all daemons, and every daemon must hold exactly the newest record of each live
+// daemon. At no time may a record be replaced by an older one.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,21 +32,22 @@
 		}
 		s.run(time.Duration(rapid.IntRange(0, 20).Draw(t, "begin")) * time.Second)
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
-			s.fault1(t)
+			s.injectFault(t)
 			s.run(time.Duration(rapid.IntRange(0, 12000).Draw(t, "ms")) * time.Millisecond)
 		}
 		s.heal()
 		s.run(settleTime)
-		if err := s.agree(); err != nil {
+		if err := s.checkEventually(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// agree checks the fleet until it agrees or was looked at often enough.
-func (s *sim) agree() error {
+// checkEventually repeats check until it succeeds, at most maxChecks times, and returns the
+// last error.
+func (s *sim) checkEventually() error {
 	var err error
-	for range looks {
+	for range maxChecks {
 		if err = s.check(); err == nil {
 			return nil
 		}
@@ -55,8 +56,8 @@
 	return err
 }
 
-// fault1 draws one fault and one node for it.
-func (s *sim) fault1(t *rapid.T) {
+// injectFault injects one random fault at one random node.
+func (s *sim) injectFault(t *rapid.T) {
 	n := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	switch kind := rapid.SampledFrom([]string{
 		"kill", "restart", "move", "freeze", "thaw", "servers", "leave", "cut", "isolate", "heal", "loss", "herd",
@@ -68,7 +69,7 @@
 		s.start(n, time.Duration(rapid.IntRange(-60, 60).Draw(t, "skew"))*time.Second)
 	case "move":
 		if n == s.nodes[0] {
-			return // the address of the first seed is in every node's settings
+			return // the address of the first seed is configured on every node
 		}
 		n.up = false
 		delete(s.byAddr, n.node.Addr)
@@ -81,18 +82,18 @@
 		n.frozen = false
 	case "servers":
 		if n.up {
-			s.do(n, n.core.SetServers(make([]presence.Server, rapid.IntRange(0, 3).Draw(t, "servers"))))
+			s.execute(n, n.core.SetServers(make([]presence.Server, rapid.IntRange(0, 3).Draw(t, "servers"))))
 		}
 	case "leave":
 		if n.up {
-			s.do(n, n.core.Leave())
+			s.execute(n, n.core.Leave())
 		}
 	case "cut":
-		s.cut = func(a, b view.Node) bool { return (a.Region == n.node.Region) != (b.Region == n.node.Region) }
+		s.partitioned = func(a, b view.Node) bool { return (a.Region == n.node.Region) != (b.Region == n.node.Region) }
 	case "isolate":
-		s.cut = func(a, b view.Node) bool { return (a.Name == n.node.Name) != (b.Name == n.node.Name) }
+		s.partitioned = func(a, b view.Node) bool { return (a.Name == n.node.Name) != (b.Name == n.node.Name) }
 	case "heal":
-		s.cut = func(_, _ view.Node) bool { return false }
+		s.partitioned = func(_, _ view.Node) bool { return false }
 	case "loss":
 		s.loss = float64(rapid.IntRange(0, 30).Draw(t, "percent")) / 100
 		s.duplicate = s.loss
@@ -105,10 +106,10 @@
 	}
 }
 
-// heal ends all faults; what was killed stays so, but for the seeds and one more:
-// a daemon that is all alone keeps what it knew.
+// heal ends all faults. Killed daemons stay down, except the seeds and one more daemon,
+// because a daemon that is completely alone keeps its old records.
 func (s *sim) heal() {
-	s.cut = func(_, _ view.Node) bool { return false }
+	s.partitioned = func(_, _ view.Node) bool { return false }
 	s.loss, s.duplicate = 0, 0
 	for i, n := range s.nodes {
 		n.frozen = false
--- a/internal/process/membership/golden_test.go
+++ b/internal/process/membership/golden_test.go
@@ -14,25 +14,25 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// session is a fleet that a golden file drives.
+// session is a simulated fleet driven by the commands of a golden file.
 type session struct {
 	*sim
 	t *testing.T
 }
 
-// TestSessions plays the golden files: whole sessions of a small fleet, with
-// what every daemon takes for the truth after each step.
+// TestSessions runs the golden files: scenarios of a small fleet, with the records known to
+// every daemon after each command.
 func TestSessions(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := &session{t: t}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			return s.step(d)
+			return s.command(d)
 		})
 	})
 }
 
-func (s *session) step(d *datadriven.TestData) string {
+func (s *session) command(d *datadriven.TestData) string {
 	switch d.Cmd {
 	case "fleet":
 		return s.fleet(d)
@@ -58,21 +58,21 @@
 		return s.server(d)
 	case "leave":
 		n := s.node(d)
-		s.do(n, n.core.Leave())
+		s.execute(n, n.core.Leave())
 	case "suspect":
 		n := s.node(d)
 		var of string
 		d.ScanArgs(s.t, "of", &of)
-		s.do(n, n.core.Probed(s.now, of, false))
+		s.execute(n, n.core.Probed(s.now, of, false))
 	case "cut":
 		var region string
 		d.ScanArgs(s.t, "region", &region)
-		s.cut = func(a, b view.Node) bool { return (a.Region == region) != (b.Region == region) }
+		s.partitioned = func(a, b view.Node) bool { return (a.Region == region) != (b.Region == region) }
 	case "isolate":
 		name := s.node(d).node.Name
-		s.cut = func(a, b view.Node) bool { return (a.Name == name) != (b.Name == name) }
+		s.partitioned = func(a, b view.Node) bool { return (a.Name == name) != (b.Name == name) }
 	case "heal":
-		s.cut = func(_, _ view.Node) bool { return false }
+		s.partitioned = func(_, _ view.Node) bool { return false }
 	case "old-copy":
 		return s.oldCopy(d)
 	default:
@@ -121,28 +121,29 @@
 	var state string
 	d.ScanArgs(s.t, "state", &state)
 	n := s.node(d)
-	s.do(n, n.core.SetServers([]presence.Server{{Mesh: "m", Service: "s", Addr: "10.0.0.9:80", State: states[state]}}))
+	s.execute(n, n.core.SetServers([]presence.Server{{Mesh: "m", Service: "s", Addr: "10.0.0.9:80", State: states[state]}}))
 	return s.show()
 }
 
-// oldCopy lets a daemon bring up the record of a dead one, as one that was cut
-// off would.
+// oldCopy makes a daemon receive the record of a dead daemon, as if another daemon that was
+// partitioned had sent its outdated copy.
 func (s *session) oldCopy(d *datadriven.TestData) string {
 	var of string
 	d.ScanArgs(s.t, "of", &of)
 	dead := s.named(of)
-	old := presence.Record{Node: dead.node, Incarnation: uint64(dead.began.UnixMilli()), Seq: 1}
+	old := presence.Record{Node: dead.node, Incarnation: uint64(dead.startedAt.UnixMilli()), Seq: 1}
 	n := s.node(d)
 	from := n.core.Links()[0].Name
-	s.do(n, n.core.ReceivePresence(s.now, from, presence.Message{Type: presence.MsgRecords, Records: []presence.Record{old}}))
+	s.execute(n, n.core.ReceivePresence(s.now, from, presence.Message{Type: presence.MsgRecords, Records: []presence.Record{old}}))
 	return s.show()
 }
 
-// show groups the daemons by what they know: each record as name, time of the
-// incarnation against the begin of the session, content, life and state.
+// show groups the daemons by the records they know. Each record is shown with its name, the
+// time of its incarnation relative to the start of the session, its sequence number and the
+// state of the daemon and its servers.
 func (s *session) show() string {
-	if s.fault != "" {
-		return "FAULT: " + s.fault
+	if s.violation != "" {
+		return "FAULT: " + s.violation
 	}
 	known := map[string][]string{}
 	for _, n := range s.live() {
--- a/internal/process/membership/herd_test.go
+++ b/internal/process/membership/herd_test.go
@@ -10,25 +10,25 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// darkness is a sim in which some nodes have no power: what is sent to them is lost, and
-// its sender gives up after the time of a connection attempt.
-type darkness struct {
+// powerLossSim is a sim in which some nodes have lost power. Messages to them are lost, and
+// the sender gives up after the timeout of a connection attempt.
+type powerLossSim struct {
 	*sim
-	dark map[string]bool
+	unpowered map[string]bool
 }
 
-// reached returns the nodes that a live chain of links joins to the first one.
-func (d *darkness) reached() map[string]bool {
+// reached returns the nodes connected to the first node by a path of live links.
+func (d *powerLossSim) reached() map[string]bool {
 	reached := map[string]bool{}
 	for next := []*simNode{d.nodes[0]}; len(next) > 0; {
 		n := next[0]
 		next = next[1:]
-		if reached[n.node.Name] || d.dark[n.node.Name] {
+		if reached[n.node.Name] || d.unpowered[n.node.Name] {
 			continue
 		}
 		reached[n.node.Name] = true
 		for _, other := range n.core.Links() {
-			if o := d.byAddr[other.Addr]; o != nil && !d.dark[other.Name] && slices.Contains(o.core.Links(), n.node) {
+			if o := d.byAddr[other.Addr]; o != nil && !d.unpowered[other.Name] && slices.Contains(o.core.Links(), n.node) {
 				next = append(next, o)
 			}
 		}
@@ -36,22 +36,23 @@
 	return reached
 }
 
-// apart is how long after a loss of power at half of the fleet, 1.2 s long, the last of
-// those that kept it is joined to the first node again.
-func apart(c *qt.C, seed uint64) time.Duration {
-	d := &darkness{sim: settle(c, newSim(seed, 3), 96, 1), dark: map[string]bool{}}
+// disconnectedTime simulates a power loss of 1.2 s at half of the fleet. It returns the time
+// from the power loss until all nodes that kept their power are connected to the first node
+// again.
+func disconnectedTime(c *qt.C, seed uint64) time.Duration {
+	d := &powerLossSim{sim: startAll(c, newSim(seed, 3), 96, 1), unpowered: map[string]bool{}}
 	d.unreachableAfter = time.Second
-	d.cut = func(a, b view.Node) bool { return d.dark[a.Name] || d.dark[b.Name] }
+	d.partitioned = func(a, b view.Node) bool { return d.unpowered[a.Name] || d.unpowered[b.Name] }
 	var lost []*simNode
 	for _, i := range d.rand.Perm(95)[:47] {
 		n := d.nodes[i+1]
 		lost = append(lost, n)
-		d.dark[n.node.Name], n.frozen = true, true
+		d.unpowered[n.node.Name], n.frozen = true, true
 	}
 	begin := d.now
 	d.after(1200*time.Millisecond, func() {
 		for _, n := range lost {
-			delete(d.dark, n.node.Name)
+			delete(d.unpowered, n.node.Name)
 			d.start(n, 0)
 		}
 	})
@@ -68,16 +69,16 @@
 	return last
 }
 
-// TestHalfWithoutPowerLeavesNobodyAlone holds that daemons whose links all lead to
-// instances without power find others in time for a change that is accepted a second
-// after the loss, and has to be in force two seconds after that.
+// TestHalfWithoutPowerLeavesNobodyAlone checks that daemons whose links all lead to
+// instances without power find other links in time: a change accepted one second after the
+// power loss must be in force everywhere two seconds later.
 func TestHalfWithoutPowerLeavesNobodyAlone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const seeds, within = 8, 2800 * time.Millisecond
 	var all []time.Duration
 	for seed := range uint64(seeds) {
-		all = append(all, apart(c, seed+1))
+		all = append(all, disconnectedTime(c, seed+1))
 	}
 	slices.Sort(all)
 	c.Logf("apart for %s at the median, %s at most", all[seeds/2], all[seeds-1])
--- a/internal/process/membership/main_test.go
+++ b/internal/process/membership/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// defaultChecks bounds the length of the fuzzing in CI; -rapid.checks takes
-// precedence.
+// defaultChecks limits the number of property-based test cases in CI. The flag
+// -rapid.checks overrides it.
 const defaultChecks = "20"
 
 func TestMain(m *testing.M) {
--- a/internal/process/membership/membership.go
+++ b/internal/process/membership/membership.go
@@ -1,8 +1,9 @@
-// Package membership joins the decisions of packages view and presence into one
-// core: links go up and down in the view, records travel over them, and the
-// table of records names candidates for links.
+// Package membership combines packages view and presence into one core. Package view
+// decides which links to other daemons are up, package presence replicates the records of
+// the daemons over these links, and the table of records supplies candidates for new links.
 //
-// The package does no I/O: messages and time come in, actions go out.
+// The package performs no I/O: its inputs are messages and the current time, its outputs
+// are actions.
 package membership
 
 import (
@@ -12,43 +13,44 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// Action is what the driver must do; exactly one field is set.
+// Action is one step that the caller of Core must carry out; exactly one field is set.
 type Action struct {
 	Send *Send
-	// Up and Down tell of links.
+	// Up and Down report that a link came up or went down.
 	Up   *view.Node
 	Down *view.Down
-	// Change is one daemon whose record counts anew, differently or no more.
+	// Change reports that the record of one daemon was added, changed or removed.
 	Change *presence.Change
-	// Probe asks whether a daemon can be reached; the answer is Core.Probed.
+	// Probe requests a check whether a daemon is reachable; the result is passed to
+	// Core.Probed.
 	Probe *view.Node
-	// Conflict is another live daemon with a name that is taken.
+	// Conflict reports another live daemon with a name that is already in use.
 	Conflict *view.Node
 }
 
-// Send delivers one message, of View or of Presence, to a node.
+// Send delivers one message to a node; either View or Presence is set.
 type Send struct {
 	To       view.Node
 	View     *view.Message
 	Presence *presence.Message
 }
 
-// Config is fixed for the life of a Core.
+// Config is the configuration of a Core. It must not change after New.
 type Config struct {
 	View     view.Config
 	Presence presence.Config
 }
 
-// supplyInterval is the time between looks for scopes that lack candidates.
-const supplyInterval = time.Second
+// candidateInterval is the time between two checks for scopes that lack link candidates.
+const candidateInterval = time.Second
 
-// Core holds both. It is not safe for concurrent use.
+// Core combines a view.Core and a presence.Core. It is not safe for concurrent use.
 type Core struct {
 	view     *view.Core
 	presence *presence.Core
-	// links are the live links by name.
-	links      map[string]view.Node
-	supplyNext time.Time
+	// links holds the live links by node name.
+	links          map[string]view.Node
+	nextCandidates time.Time
 }
 
 // New returns a Core that knows only itself.
@@ -56,87 +58,89 @@
 	return &Core{view: view.New(cfg.View), presence: presence.New(cfg.Presence), links: map[string]view.Node{}}
 }
 
-// Presence is the table of records, to read.
+// Presence returns the table of records. Callers must only read from it.
 func (c *Core) Presence() *presence.Core { return c.presence }
 
-// Links returns the live links in order of name.
+// Links returns the live links, sorted by name.
 func (c *Core) Links() []view.Node { return c.view.Links() }
 
-// Link returns the link to the node named, if there is one.
+// Link returns the link to the node with the given name, if there is one.
 func (c *Core) Link(name string) (view.Node, bool) {
 	n, ok := c.links[name]
 	return n, ok
 }
 
-// SetSeeds changes the peer addresses that links begin with.
+// SetSeeds replaces the peer addresses through which this daemon joins the fleet.
 func (c *Core) SetSeeds(seeds []string) { c.view.SetSeeds(seeds) }
 
-// Seek looks for a link to another daemon.
+// Seek starts the search for a link to another daemon.
 func (c *Core) Seek() { c.view.Seek() }
 
-// Heard notes that something came over the link to a node. Messages of the view
-// and of presence note it by themselves.
+// Heard records that a message arrived over the link to a node. ReceiveView and
+// ReceivePresence do this themselves.
 func (c *Core) Heard(now time.Time, name string) { c.view.Heard(now, name) }
 
-// Sent notes that something was sent to a node; it spares a keep-alive.
+// Sent records that a message was sent to a node, which makes a keep-alive unnecessary.
 func (c *Core) Sent(now time.Time, name string) { c.view.Sent(now, name) }
 
-// ReceiveView takes in a message of the view. A daemon that takes this one for a
-// link in vain is told so, if it is known where it is.
+// ReceiveView handles a message of package view. If a daemon that is not linked to this one
+// sends a keep-alive, it is informed that the link does not exist, provided that its
+// address is known.
 func (c *Core) ReceiveView(now time.Time, from string, m view.Message) []Action {
 	if m.Type == view.MsgAlive && !c.view.Linked(from) {
 		if n, known := c.presence.Node(from); known {
-			return c.doView(now, c.view.Stray(n))
+			return c.convertView(now, c.view.Stray(n))
 		}
 		return nil
 	}
 	if m.Type == view.MsgAlive {
 		c.view.Heard(now, from)
 	}
-	return c.doView(now, c.view.Receive(now, from, m))
+	return c.convertView(now, c.view.Receive(now, from, m))
 }
 
-// ReceivePresence takes in a message of the presence.
+// ReceivePresence handles a message of package presence.
 func (c *Core) ReceivePresence(now time.Time, from string, m presence.Message) []Action {
 	c.view.Heard(now, from)
-	return c.doPresence(c.presence.Receive(now, from, m))
+	return c.convertPresence(c.presence.Receive(now, from, m))
 }
 
-// Unreachable notes that nothing could be delivered to an address.
+// Unreachable records that a message could not be delivered to an address.
 func (c *Core) Unreachable(now time.Time, addr string) []Action {
-	return c.doView(now, c.view.Unreachable(now, addr))
+	return c.convertView(now, c.view.Unreachable(now, addr))
 }
 
-// Probed takes in the outcome of a probe.
+// Probed handles the result of a probe requested by Action.Probe.
 func (c *Core) Probed(now time.Time, name string, reached bool) []Action {
-	return c.doPresence(c.presence.Probed(now, name, reached))
+	return c.convertPresence(c.presence.Probed(now, name, reached))
 }
 
-// SetServers replaces the backend servers beside this daemon.
+// SetServers replaces the backend servers in this daemon's record.
 func (c *Core) SetServers(servers []presence.Server) []Action {
-	return c.doPresence(c.presence.SetServers(servers))
+	return c.convertPresence(c.presence.SetServers(servers))
 }
 
 // SetSuspects replaces the suspects in this daemon's record.
 func (c *Core) SetSuspects(suspects []presence.Suspect) []Action {
-	return c.doPresence(c.presence.SetSuspects(suspects))
+	return c.convertPresence(c.presence.SetSuspects(suspects))
 }
 
 // Leave marks this daemon as leaving.
-func (c *Core) Leave() []Action { return c.doPresence(c.presence.Leave()) }
+func (c *Core) Leave() []Action { return c.convertPresence(c.presence.Leave()) }
 
-// Tick lets time pass.
+// Tick performs the work that is due at now. It must be called regularly.
 func (c *Core) Tick(now time.Time) []Action {
-	if !now.Before(c.supplyNext) {
-		c.supplyNext = now.Add(supplyInterval)
-		c.supply()
+	if !now.Before(c.nextCandidates) {
+		c.nextCandidates = now.Add(candidateInterval)
+		c.addCandidates()
 	}
-	actions := c.doPresence(c.presence.Tick(now))
-	return append(actions, c.doView(now, c.view.Tick(now))...)
+	actions := c.convertPresence(c.presence.Tick(now))
+	return append(actions, c.convertView(now, c.view.Tick(now))...)
 }
 
-// supply names candidates for the scopes that lack them.
-func (c *Core) supply() {
+// addCandidates passes a known daemon to the view for each scope that lacks link
+// candidates.
+func (c *Core) addCandidates() {
 	c.view.SetFleet(c.presence.Len())
 	for s := view.SameDomain; s <= view.OtherRegion; s++ {
 		if !c.view.Lacks(s) {
@@ -148,7 +152,9 @@
 	}
 }
 
-func (c *Core) doView(now time.Time, in []view.Action) []Action {
+// convertView converts the actions of package view and passes link changes on to package
+// presence.
+func (c *Core) convertView(now time.Time, in []view.Action) []Action {
 	var out []Action
 	for _, a := range in {
 		switch {
@@ -157,11 +163,11 @@
 		case a.Up != nil:
 			c.links[a.Up.Name] = *a.Up
 			out = append(out, Action{Up: a.Up})
-			out = append(out, c.doPresence(c.presence.LinkUp(now, a.Up.Name))...)
+			out = append(out, c.convertPresence(c.presence.LinkUp(now, a.Up.Name))...)
 		case a.Down != nil:
 			delete(c.links, a.Down.Node.Name)
 			out = append(out, Action{Down: a.Down})
-			out = append(out, c.doPresence(c.presence.LinkDown(now, a.Down.Node.Name, a.Down.Failed))...)
+			out = append(out, c.convertPresence(c.presence.LinkDown(now, a.Down.Node.Name, a.Down.Failed))...)
 		case a.Conflict != nil:
 			out = append(out, Action{Conflict: a.Conflict})
 		}
@@ -169,7 +175,9 @@
 	return out
 }
 
-func (c *Core) doPresence(in []presence.Action) []Action {
+// convertPresence converts the actions of package presence. It drops messages to nodes that
+// are not linked.
+func (c *Core) convertPresence(in []presence.Action) []Action {
 	var out []Action
 	for _, a := range in {
 		switch {
--- a/internal/process/membership/scale_test.go
+++ b/internal/process/membership/scale_test.go
@@ -12,7 +12,7 @@
 	"github.com/daisygate/daisygate/internal/process/view"
 )
 
-// The limits of the brief.
+// Required upper bounds on the time until a change is known to the whole fleet.
 const (
 	drainLimit = 2 * time.Second
 	deathLimit = 5 * time.Second
@@ -20,23 +20,25 @@
 
 var serving = []presence.Server{{Mesh: "mesh", Service: "service", Addr: "10.0.0.9:8080", Slots: 20, Connections: 110, State: presence.Serving}}
 
-// settled starts a fleet in which every daemon has a backend server.
-func settled(c *qt.C, size int) *sim { return settle(c, newSim(uint64(size), 1), size, min(size/3, 5)) }
+// fleet starts a fleet in which every daemon has a backend server and waits until it
+// has converged.
+func fleet(c *qt.C, size int) *sim { return startAll(c, newSim(uint64(size), 1), size, min(size/3, 5)) }
 
-// settle adds nodes to a sim and waits until they agree.
-func settle(c *qt.C, s *sim, size, regions int) *sim {
+// startAll adds nodes to a sim, each with a backend server, and waits until they have
+// converged.
+func startAll(c *qt.C, s *sim, size, regions int) *sim {
 	for range size {
 		n := s.add(regions)
 		s.start(n, 0)
-		s.do(n, n.core.SetServers(serving))
+		s.execute(n, n.core.SetServers(serving))
 	}
 	s.run(20 * time.Second)
-	c.Assert(s.agree(), qt.IsNil)
+	c.Assert(s.checkEventually(), qt.IsNil)
 	return s
 }
 
-// until returns how long it takes until done, looked at with each step, or
-// limit.
+// until runs the sim until done returns true, checked after each step, or until limit has
+// passed. It returns the elapsed time.
 func (s *sim) until(limit, step time.Duration, done func() bool) time.Duration {
 	begin := s.now
 	for !done() && s.now.Sub(begin) < limit {
@@ -45,12 +47,13 @@
 	return s.now.Sub(begin)
 }
 
-// nobody reports whether no live daemon's record of owner fits.
-func (s *sim) nobody(owner string, fits func(presence.Record) bool) func() bool {
+// noRecord returns a function that reports whether no live daemon has a record of owner that
+// matches.
+func (s *sim) noRecord(owner string, matches func(presence.Record) bool) func() bool {
 	return func() bool {
 		for _, n := range s.live() {
 			for _, r := range n.core.Presence().All() {
-				if r.Node.Name == owner && fits(*r) {
+				if r.Node.Name == owner && matches(*r) {
 					return false
 				}
 			}
@@ -59,8 +62,8 @@
 	}
 }
 
-// TestJoinStorm starts a fleet at once, through one seed: it gets no more links
-// than any other daemon, and refers the rest on.
+// TestJoinStorm starts all daemons at the same time with a single seed. The seed must not
+// accept more links than any other daemon and must refer the other daemons elsewhere.
 func TestJoinStorm(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -70,19 +73,20 @@
 			s.start(s.add(min(size/3, 5)), 0)
 		}
 		took := s.until(30*time.Second, 500*time.Millisecond, func() bool { return s.check() == nil })
-		c.Assert(s.agree(), qt.IsNil)
+		c.Assert(s.checkEventually(), qt.IsNil)
 		seed, all := s.nodes[0].joins, 0
 		for _, n := range s.nodes {
 			all += n.joins
 		}
 		c.Logf("%d daemons agree after %s: %d joins at the seed, %d at all, %d envelopes at the seed", size, took, seed, all, s.nodes[0].received)
 		c.Assert(seed < 4*size, qt.IsTrue)
-		c.Assert(s.spread(), qt.IsNil)
+		c.Assert(s.checkLinkScopes(), qt.IsNil)
 	}
 }
 
-// spread wants links within the domain, the region and beyond, at every daemon.
-func (s *sim) spread() error {
+// checkLinkScopes checks that every daemon has links within its failure domain, within its
+// region and to other regions, as far as there are daemons in these scopes.
+func (s *sim) checkLinkScopes() error {
 	s.run(20 * time.Second)
 	for _, n := range s.nodes {
 		var counts [3]int
@@ -98,22 +102,22 @@
 	return nil
 }
 
-// TestPropagation measures how long a draining backend server and a dead
-// daemon's backend servers stay candidates anywhere.
+// TestPropagation measures how long any daemon still considers a draining backend server, or
+// the backend servers of a dead daemon, as candidates for requests.
 func TestPropagation(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{12, 50, 200} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			c := qt.New(t)
-			s := settled(c, size)
+			s := fleet(c, size)
 			n := s.nodes[size/2]
 			draining := slices.Clone(serving)
 			draining[0].State = presence.Draining
-			s.do(n, n.core.SetServers(draining))
-			drain := s.until(drainLimit, 10*time.Millisecond, s.nobody(n.node.Name, func(r presence.Record) bool { return r.Servers[0].State.TakesWork() }))
+			s.execute(n, n.core.SetServers(draining))
+			drain := s.until(drainLimit, 10*time.Millisecond, s.noRecord(n.node.Name, func(r presence.Record) bool { return r.Servers[0].State.TakesWork() }))
 			s.run(3 * time.Second)
 			n.up = false
-			death := s.until(deathLimit, 50*time.Millisecond, s.nobody(n.node.Name, func(presence.Record) bool { return true }))
+			death := s.until(deathLimit, 50*time.Millisecond, s.noRecord(n.node.Name, func(presence.Record) bool { return true }))
 			c.Logf("%d daemons: drained everywhere after %s, dead after %s", size, drain, death)
 			c.Assert(drain < drainLimit, qt.IsTrue)
 			c.Assert(death < deathLimit, qt.IsTrue)
@@ -126,17 +130,18 @@
 	idleTime = seconds * time.Second
 )
 
-// idleBytes bounds what a settled daemon sends in a second, before net/rpc.
+// idleBytes bounds the bytes that a daemon of a converged fleet sends per second, without
+// the overhead of net/rpc.
 const idleBytes = 200
 
-// TestIdle measures what a settled fleet sends.
+// TestIdle measures the traffic of a converged fleet.
 func TestIdle(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{12, 50} {
 		c := qt.New(t)
-		s := settled(c, size)
+		s := fleet(c, size)
 		s.measure = true
-		s.reset()
+		s.resetCounters()
 		s.run(idleTime)
 		total, envelopes, links := 0, 0, 0
 		for _, n := range s.nodes {
@@ -149,29 +154,29 @@
 	}
 }
 
-func (s *sim) reset() {
+func (s *sim) resetCounters() {
 	for _, n := range s.nodes {
 		n.bytes, n.received = 0, 0
 	}
 }
 
-// TestHerd kills half of the fleet and brings it back at once.
+// TestHerd kills half of the fleet and restarts all of it at the same time.
 func TestHerd(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const size = 100
-	s := settled(c, size)
+	s := fleet(c, size)
 	for i, n := range s.nodes {
 		n.up = i%2 == 0
 	}
 	dropped := s.until(30*time.Second, 200*time.Millisecond, func() bool { return s.check() == nil })
 	s.run(10 * time.Second)
 	s.measure = true
-	s.reset()
+	s.resetCounters()
 	for i, n := range s.nodes {
 		if i%2 == 1 {
 			s.start(n, 0)
-			s.do(n, n.core.SetServers(serving))
+			s.execute(n, n.core.SetServers(serving))
 		}
 	}
 	back := s.until(30*time.Second, 200*time.Millisecond, func() bool { return s.check() == nil })
@@ -180,24 +185,25 @@
 		bytes, received = max(bytes, n.bytes), max(received, n.received)
 	}
 	c.Logf("half of %d: dropped after %s, back after %s; seed received %d envelopes, the most was %d, the most sent %d B", size, dropped, back, s.nodes[0].received, received, bytes)
-	c.Assert(s.agree(), qt.IsNil)
+	c.Assert(s.checkEventually(), qt.IsNil)
 }
 
-// cutTime is short of the hour that the golden session takes, for the length of
-// the test.
-const cutTime = 2 * time.Minute
+// partitionTime is how long the region is partitioned. It is shorter than the hour of the
+// golden file region_cut to limit the duration of the test.
+const partitionTime = 2 * time.Minute
 
-// healBytes bounds what a daemon sends for each record of the fleet when a cut
+// healBytes bounds the bytes that a daemon sends per record of the fleet after a partition
 // heals; a whole record takes about 139 B.
 const healBytes = 80
 
-// TestRegionCut cuts a region off and measures the return.
+// TestRegionCut partitions one region from the others and measures the recovery after the
+// partition heals.
 func TestRegionCut(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const size = 100
-	s := settled(c, size)
-	s.cut = func(a, b view.Node) bool { return (a.Region == "r1") != (b.Region == "r1") }
+	s := fleet(c, size)
+	s.partitioned = func(a, b view.Node) bool { return (a.Region == "r1") != (b.Region == "r1") }
 	sides := func() bool {
 		for _, n := range s.nodes {
 			want := 80
@@ -212,17 +218,17 @@
 	}
 	dropped := s.until(2*time.Minute, 200*time.Millisecond, sides)
 	c.Assert(sides(), qt.IsTrue)
-	s.run(cutTime)
+	s.run(partitionTime)
 	c.Assert(sides(), qt.IsTrue)
 	for _, in := range []bool{true, false} {
 		side := slices.DeleteFunc(s.live(), func(n *simNode) bool { return (n.node.Region == "r1") != in })
 		c.Assert(s.checkOverlay(side), qt.IsNil)
 	}
 	s.measure = true
-	s.reset()
-	s.cut = func(_, _ view.Node) bool { return false }
+	s.resetCounters()
+	s.partitioned = func(_, _ view.Node) bool { return false }
 	back := s.until(2*time.Minute, 200*time.Millisecond, func() bool { return s.check() == nil })
-	c.Assert(s.agree(), qt.IsNil)
+	c.Assert(s.checkEventually(), qt.IsNil)
 	total := 0
 	for _, n := range s.nodes {
 		total += n.bytes
--- a/internal/process/membership/sim_test.go
+++ b/internal/process/membership/sim_test.go
@@ -20,7 +20,8 @@
 	tick     = 100 * time.Millisecond
 )
 
-// event is something that happens at a virtual time.
+// event is a function scheduled at a point in virtual time. Events at the same time run in
+// order of seq.
 type event struct {
 	at  time.Time
 	seq int
@@ -40,27 +41,28 @@
 }
 func (e event) before(o event) bool { return e.at.Before(o.at) || (e.at.Equal(o.at) && e.seq < o.seq) }
 
-// item is what an envelope holds of one message.
+// item is one message in an envelope; either View or Presence is set.
 type item struct {
 	View     *view.Message
 	Presence *presence.Message
 }
 
-// simNode is one daemon of the sim.
+// simNode is one simulated daemon.
 type simNode struct {
 	node   view.Node
 	core   *membership.Core
 	up     bool
 	frozen bool
-	// began is when this process started; boots counts its processes.
-	began time.Time
-	boots uint64
-	// stamps are the newest records that counted here, by owner.
+	// startedAt is the start time of the current process; boots is the number of processes
+	// started so far.
+	startedAt time.Time
+	boots     uint64
+	// stamps holds the stamp of the newest accepted record of each daemon, by name.
 	stamps   map[string]presence.Stamp
 	received int
 	bytes    int
 	conflict int
-	// joins counts the joins received.
+	// joins is the number of join messages received.
 	joins int
 }
 
@@ -73,28 +75,28 @@
 	nodes  []*simNode
 	byAddr map[string]*simNode
 	seeds  []string
-	// loss and duplicate are shares of all envelopes.
+	// loss and duplicate are the fractions of envelopes that are lost and duplicated.
 	loss, duplicate float64
-	// cut tells whether two nodes cannot reach one another.
-	cut func(a, b view.Node) bool
-	// unreachableAfter is when the sender of an envelope that is cut off gives up; 0 is
-	// never.
+	// partitioned reports whether two nodes cannot reach each other.
+	partitioned func(a, b view.Node) bool
+	// unreachableAfter is the time after which the sender of an envelope learns that the
+	// receiver is on the other side of a partition; 0 means never.
 	unreachableAfter time.Duration
-	// fault is the first breach of an invariant that holds at all times.
-	fault string
-	// onChange sees every change at every node.
+	// violation describes the first violation of an invariant that must always hold.
+	violation string
+	// onChange, if set, is called for every record change at every node.
 	onChange func(at *simNode, c *presence.Change)
-	// measure adds up the encoded bytes.
+	// measure enables counting the encoded bytes of each envelope.
 	measure bool
-	sizes   *gob.Encoder
-	sized   bytes.Buffer
+	encoder *gob.Encoder
+	encoded bytes.Buffer
 }
 
 func newSim(seed uint64, seeds int) *sim {
 	s := &sim{now: time.UnixMilli(1_700_000_000_000), rand: rand.New(rand.NewPCG(seed, 1))}
-	s.cut = func(_, _ view.Node) bool { return false }
+	s.partitioned = func(_, _ view.Node) bool { return false }
 	s.byAddr = map[string]*simNode{}
-	s.sizes = gob.NewEncoder(&s.sized)
+	s.encoder = gob.NewEncoder(&s.encoded)
 	for i := range seeds {
 		s.seeds = append(s.seeds, addrOf(i))
 	}
@@ -103,7 +105,7 @@
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-// add makes a node; it is started apart. Regions hold three domains each.
+// add adds a node without starting it. Each region has three failure domains.
 func (s *sim) add(regions int) *simNode {
 	i := len(s.nodes)
 	region := i % regions
@@ -121,7 +123,7 @@
 	heap.Push(&s.queue, event{at: s.now.Add(d), seq: s.seq, do: do})
 }
 
-// run lets virtual time pass.
+// run advances virtual time by d and runs the events that are due.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
@@ -132,9 +134,9 @@
 	s.now = end
 }
 
-// start begins a process whose clock is off by skew.
+// start starts a new process of a node, with a clock that is off by skew.
 func (s *sim) start(n *simNode, skew time.Duration) {
-	n.up, n.frozen, n.began, n.stamps = true, false, s.now, map[string]presence.Stamp{}
+	n.up, n.frozen, n.startedAt, n.stamps = true, false, s.now, map[string]presence.Stamp{}
 	n.boots++
 	var others []string
 	for _, a := range s.seeds {
@@ -153,21 +155,21 @@
 			ForgetAfter: 2 * time.Hour, ProbeInterval: 10 * time.Second, Seed: s.rand.Uint64(),
 		},
 	})
-	s.loop(n, n.core)
+	s.tickLoop(n, n.core)
 }
 
-func (s *sim) loop(n *simNode, core *membership.Core) {
+func (s *sim) tickLoop(n *simNode, core *membership.Core) {
 	if n.core != core || !n.up {
 		return
 	}
 	if !n.frozen {
-		s.do(n, core.Tick(s.now))
+		s.execute(n, core.Tick(s.now))
 	}
-	s.after(tick, func() { s.loop(n, core) })
+	s.after(tick, func() { s.tickLoop(n, core) })
 }
 
-// do carries out actions: what goes to one address goes in one envelope.
-func (s *sim) do(n *simNode, actions []membership.Action) {
+// execute carries out actions. All messages to the same address are sent in one envelope.
+func (s *sim) execute(n *simNode, actions []membership.Action) {
 	envelopes := map[string][]item{}
 	for _, a := range actions {
 		switch {
@@ -175,7 +177,7 @@
 			envelopes[a.Send.To.Addr] = append(envelopes[a.Send.To.Addr], item{View: a.Send.View, Presence: a.Send.Presence})
 			n.core.Sent(s.now, a.Send.To.Name)
 		case a.Change != nil:
-			s.change(n, a.Change)
+			s.checkChange(n, a.Change)
 		case a.Probe != nil:
 			s.probe(n, *a.Probe)
 		case a.Conflict != nil:
@@ -189,7 +191,7 @@
 
 func (s *sim) latency() time.Duration { return time.Duration(1+s.rand.IntN(9)) * time.Millisecond }
 
-func (s *sim) at(addr string) *simNode {
+func (s *sim) nodeAt(addr string) *simNode {
 	if n := s.byAddr[addr]; n != nil && n.up {
 		return n
 	}
@@ -208,32 +210,33 @@
 		copies = 2
 	}
 	for range copies {
-		s.after(s.latency(), func() { s.arrive(n, addr, items) })
+		s.after(s.latency(), func() { s.deliver(n, addr, items) })
 	}
 }
 
-// size is the encoded size of items on a connection that knows their types.
+// size returns the encoded size of items on a connection over which their types have
+// already been sent.
 func (s *sim) size(items []item) int {
-	s.sized.Reset()
-	if err := s.sizes.Encode(items); err != nil {
+	s.encoded.Reset()
+	if err := s.encoder.Encode(items); err != nil {
 		panic(err)
 	}
-	return s.sized.Len()
+	return s.encoded.Len()
 }
 
-func (s *sim) arrive(from *simNode, addr string, items []item) {
-	to := s.at(addr)
+func (s *sim) deliver(from *simNode, addr string, items []item) {
+	to := s.nodeAt(addr)
 	switch {
 	case to == nil:
 		if from.up {
-			s.do(from, from.core.Unreachable(s.now, addr))
+			s.execute(from, from.core.Unreachable(s.now, addr))
 		}
 		return
-	case s.cut(from.node, to.node):
-		s.giveUp(from, addr)
+	case s.partitioned(from.node, to.node):
+		s.reportUnreachable(from, addr)
 		return
 	case to.frozen:
-		s.after(tick, func() { s.arrive(from, addr, items) })
+		s.after(tick, func() { s.deliver(from, addr, items) })
 		return
 	}
 	to.received++
@@ -249,21 +252,22 @@
 			actions = append(actions, to.core.ReceivePresence(s.now, from.node.Name, *i.Presence)...)
 		}
 	}
-	s.do(to, actions)
+	s.execute(to, actions)
 	if links := len(to.core.Links()); links > maxLinks {
-		s.fail("%s has %d links", to.node.Name, links)
+		s.recordViolation("%s has %d links", to.node.Name, links)
 	}
 }
 
-// giveUp tells the sender of an envelope that was cut off, if it waits for that.
-func (s *sim) giveUp(from *simNode, addr string) {
+// reportUnreachable informs the sender of an envelope to the other side of a partition after
+// unreachableAfter, unless that is 0.
+func (s *sim) reportUnreachable(from *simNode, addr string) {
 	if s.unreachableAfter == 0 {
 		return
 	}
 	core := from.core
 	s.after(s.unreachableAfter, func() {
 		if from.up && !from.frozen && from.core == core {
-			s.do(from, core.Unreachable(s.now, addr))
+			s.execute(from, core.Unreachable(s.now, addr))
 		}
 	})
 }
@@ -271,16 +275,16 @@
 func (s *sim) probe(n *simNode, target view.Node) {
 	core := n.core
 	s.after(s.latency(), func() {
-		to := s.at(target.Addr)
-		reached := to != nil && !s.cut(n.node, to.node)
+		to := s.nodeAt(target.Addr)
+		reached := to != nil && !s.partitioned(n.node, to.node)
 		if n.up && n.core == core {
-			s.do(n, core.Probed(s.now, target.Name, reached))
+			s.execute(n, core.Probed(s.now, target.Name, reached))
 		}
 	})
 }
 
-// change checks that no record is replaced by an older one.
-func (s *sim) change(n *simNode, c *presence.Change) {
+// checkChange checks that no record is replaced by an older one.
+func (s *sim) checkChange(n *simNode, c *presence.Change) {
 	if s.onChange != nil {
 		s.onChange(n, c)
 	}
@@ -290,14 +294,14 @@
 	name := c.New.Node.Name
 	last, next := n.stamps[name], presence.Stamp{Incarnation: c.New.Incarnation, Seq: c.New.Seq}
 	if next.Incarnation < last.Incarnation || (next.Incarnation == last.Incarnation && next.Seq < last.Seq) {
-		s.fail("%s took an older record of %s", n.node.Name, name)
+		s.recordViolation("%s replaced its record of %s by an older one", n.node.Name, name)
 	}
 	n.stamps[name] = next
 }
 
-func (s *sim) fail(format string, args ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf(format, args...)
+func (s *sim) recordViolation(format string, args ...any) {
+	if s.violation == "" {
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
