--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -1,7 +1,7 @@
-// Package dev runs a whole mesh on loopback in one process: daemons, of
-// which up to five are sources, with stand-in backend servers beside them. It is for trying
-// daisygate out and for tests of the command line; the daemons are the real
-// ones and speak over real sockets.
+// Package dev runs a complete mesh on the loopback interface in one process: daemons, of
+// which up to five are sources, and stand-in backend servers. It is intended for trying out
+// daisygate and for tests of the command line. The daemons are the production
+// implementation and communicate over real sockets.
 package dev
 
 import (
@@ -24,18 +24,19 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// DefaultNodes is the number of daemons when the Config names none: the least
-// that survives the loss of one.
+// DefaultNodes is the default number of daemons: the smallest number that tolerates the loss
+// of one.
 const DefaultNodes = 3
 
-// maxSources is how many daemons are sources: the first ones.
+// maxSources is the maximum number of daemons that are sources. The first daemons are the
+// sources.
 const maxSources = 5
 
-// ErrPortInUse marks the failure of Start when the address of Config.Operator
-// is taken.
+// ErrPortInUse marks the error of Start if the address of Config.Operator is already in
+// use.
 var ErrPortInUse = errors.New("port in use")
 
-// The sizes that the stand-ins announce.
+// Slots and connections announced by each stand-in backend server.
 const (
 	serverSlots       = 20
 	serverConnections = 110
@@ -43,34 +44,35 @@
 
 // Server is one stand-in backend server.
 type Server struct {
-	// Node is the index of the daemon it stands beside.
+	// Node is the index of the daemon that the server announces itself to.
 	Node          int
 	Mesh, Service string
-	// Version names its software, "" tells none; a version that Fails answers every second
-	// request with a failure.
+	// Version is the announced software version; "" announces none. If Fails is set, the
+	// server answers every second request with a failure.
 	Version string
 	Fails   bool
 }
 
-// Config is fixed for the life of a Mesh.
+// Config is the configuration of a Mesh. It must not change after Start.
 type Config struct {
 	// Nodes is the number of daemons. Default DefaultNodes.
 	Nodes int
-	// DataDir holds a folder for each daemon and is kept; empty takes a
-	// temporary one that Stop removes.
+	// DataDir contains a directory for each daemon and is not removed. If it is empty, a
+	// temporary directory is used, which Stop removes.
 	DataDir string
-	// TokenFile holds the operator token; empty needs none on loopback.
+	// TokenFile is the path of the file that holds the operator token. If it is empty, no
+	// token is required on loopback.
 	TokenFile string
-	// Operator is the operator address of the first daemon, "ip:port"; empty
-	// lets the system choose, as it does for all other addresses.
+	// Operator is the operator address of the first daemon, "ip:port". If it is empty, the
+	// operating system chooses a port, as it does for all other addresses.
 	Operator string
 	Servers  []Server
-	// Rollouts keeps requests away from versions that no roll-out has put in use.
+	// Rollouts blocks requests to software versions that no roll-out has put in use.
 	Rollouts bool
 	Log      logr.Logger
 }
 
-// Node is one running daemon's addresses.
+// Node holds the name, failure domain and addresses of one running daemon.
 type Node struct {
 	Name, Domain                     string
 	Caller, Announce, Peer, Operator string
@@ -81,10 +83,10 @@
 	Nodes   []Node
 	Servers []*standin.Server
 
-	// temp is the folder to remove at the end, or "".
-	temp string
-	// serving ends with stopServers.
-	serving     context.Context
+	// tempDir is the directory that Stop removes, or "".
+	tempDir string
+	// serversCtx is canceled by stopServers.
+	serversCtx  context.Context
 	stopServers context.CancelFunc
 	stopDaemons context.CancelFunc
 	servers     sync.WaitGroup
@@ -94,16 +96,17 @@
 	err error
 }
 
-// listenerNames are the listeners of a daemon.
+// listenerNames are the names of the listeners of each daemon.
 var listenerNames = []string{"caller", "announce", "peer", "operator"}
 
-// Start runs a mesh until Stop. It does not wait for a leader.
+// Start starts a mesh, which runs until Stop is called. It does not wait for the election of
+// a leader.
 func Start(cfg Config) (*Mesh, error) {
 	if cfg.Nodes == 0 {
 		cfg.Nodes = DefaultNodes
 	}
 	m := &Mesh{stopDaemons: func() {}}
-	m.serving, m.stopServers = context.WithCancel(context.Background())
+	m.serversCtx, m.stopServers = context.WithCancel(context.Background())
 	if err := m.start(cfg); err != nil {
 		return nil, errors.CombineErrors(err, m.Stop())
 	}
@@ -114,9 +117,9 @@
 	if cfg.DataDir == "" {
 		dir, err := os.MkdirTemp("", "daisygate-dev")
 		if err != nil {
-			return errors.Wrap(err, "data folder")
+			return errors.Wrap(err, "create temporary data directory")
 		}
-		m.temp, cfg.DataDir = dir, dir
+		m.tempDir, cfg.DataDir = dir, dir
 	}
 	listeners, err := m.listen(cfg)
 	if err != nil {
@@ -128,8 +131,9 @@
 	return m.StartServers(cfg.Servers)
 }
 
-// listen opens every listener first: each daemon's settings name the peer
-// addresses of all.
+// listen opens all listeners before any daemon starts, because the settings of each daemon
+// contain the peer addresses of the sources. It returns the listeners of each daemon by
+// name.
 func (m *Mesh) listen(cfg Config) ([]map[string]net.Listener, error) {
 	var all []map[string]net.Listener
 	for i := range cfg.Nodes {
@@ -143,7 +147,7 @@
 			listener, err := net.Listen("tcp", addr)
 			if err != nil {
 				closeAll(all)
-				return nil, listenFailure(name, err)
+				return nil, listenError(name, err)
 			}
 			open[name] = listener
 		}
@@ -156,7 +160,7 @@
 	return all, nil
 }
 
-func listenFailure(name string, err error) error {
+func listenError(name string, err error) error {
 	err = errors.Wrapf(err, "listen.%s", name)
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return errors.Mark(err, ErrPortInUse)
@@ -186,14 +190,14 @@
 			closeAll(listeners[i+1:])
 			return err
 		}
-		m.daemons.Go(func() { m.note(d.Run(ctx)) })
+		m.daemons.Go(func() { m.recordError(d.Run(ctx)) })
 	}
 	return nil
 }
 
-// sources is the number of sources of a mesh: odd, for an even one survives no
-// more losses than one less.
-func sources(nodes int) int { return min((nodes-1)|1, nodes, maxSources) }
+// sourceCount returns the number of sources in a mesh. It is odd because an even number of
+// sources tolerates no more failures than the odd number below it.
+func sourceCount(nodes int) int { return min((nodes-1)|1, nodes, maxSources) }
 
 func (m *Mesh) settings(cfg Config, n Node) settings.Settings {
 	set := settings.Defaults()
@@ -202,14 +206,14 @@
 	set.Listen = settings.Listen{Caller: n.Caller, Announce: n.Announce, Peer: n.Peer, Operator: n.Operator}
 	set.Operator.TokenFile = cfg.TokenFile
 	set.Servers.Rollouts = cfg.Rollouts
-	for _, o := range m.Nodes[:sources(len(m.Nodes))] {
+	for _, o := range m.Nodes[:sourceCount(len(m.Nodes))] {
 		set.Seeds = append(set.Seeds, o.Peer)
 		set.Source.Members = append(set.Source.Members, settings.Member{Node: o.Name, Peer: o.Peer})
 	}
 	return set
 }
 
-// StartServers starts backend servers in a running mesh; Stop ends them too.
+// StartServers starts additional backend servers in a running mesh. Stop stops them too.
 func (m *Mesh) StartServers(servers []Server) error {
 	for _, s := range servers {
 		version := ""
@@ -221,31 +225,32 @@
 			Announcement: announce.Announcement{
 				Mesh: s.Mesh, Service: s.Service, Version: s.Version, Slots: serverSlots, Connections: serverConnections,
 			},
-			Crash:  cutConnection,
-			Fails:  everySecond(s.Fails),
+			Crash:  abortRequest,
+			Fails:  failEverySecond(s.Fails),
 			Answer: fmt.Sprintf("answered by service %s%s beside daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
 		})
 		if err != nil {
 			return err
 		}
 		m.Servers = append(m.Servers, server)
-		m.servers.Go(func() { m.note(server.Run(m.serving)) })
+		m.servers.Go(func() { m.recordError(server.Run(m.serversCtx)) })
 	}
 	return nil
 }
 
-// everySecond fails every second request, or none.
-func everySecond(fails bool) func(*http.Request) bool {
+// failEverySecond returns a function that reports whether a request must fail: every second
+// one if fails is true, otherwise none.
+func failEverySecond(fails bool) func(*http.Request) bool {
 	var requests atomic.Uint64
 	return func(*http.Request) bool { return fails && requests.Add(1)%2 == 0 }
 }
 
-// cutConnection is how a stand-in crashes that shares its process with a mesh:
-// the request's connection ends without an answer.
-func cutConnection() { panic(http.ErrAbortHandler) }
+// abortRequest simulates the crash of a stand-in server that runs in the process of the
+// mesh: the connection of the request is closed without a response.
+func abortRequest() { panic(http.ErrAbortHandler) }
 
-// note keeps the first failure.
-func (m *Mesh) note(err error) {
+// recordError stores err if it is the first error.
+func (m *Mesh) recordError(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err == nil {
@@ -253,15 +258,15 @@
 	}
 }
 
-// Stop ends the backend servers, then the daemons, and cuts no request. It
-// returns the first failure of any of them since Start.
+// Stop stops the backend servers and then the daemons without aborting requests. It returns
+// the first error of any of them since Start.
 func (m *Mesh) Stop() error {
 	m.stopServers()
 	m.servers.Wait()
 	m.stopDaemons()
 	m.daemons.Wait()
-	if m.temp != "" {
-		m.note(os.RemoveAll(m.temp))
+	if m.tempDir != "" {
+		m.recordError(os.RemoveAll(m.tempDir))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/process/dev/rollout_test.go
+++ b/internal/process/dev/rollout_test.go
@@ -23,26 +23,27 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The service that is rolled out, and the load on it.
+// The service that is rolled out and the load on it.
 const (
 	rolloutMesh    = "m"
 	rolloutService = "s"
 	callers        = 8
-	callerPause    = 10 * time.Millisecond
+	callerDelay    = 10 * time.Millisecond
 	rolloutWithin  = 9 * time.Second
 )
 
-// rig is a mesh of three daemons with servers of version v1 under load.
-type rig struct {
+// fixture is a mesh of three daemons with a backend server of version v1 at each.
+type fixture struct {
 	mesh   *dev.Mesh
 	client *operator.Client
-	// refused counts answers without a run, failed those with status 500.
+	// answered, failed and refused count the requests of load by status: 200, 500 and any
+	// other or none.
 	answered, refused, failed atomic.Int64
-	// others are the bodies of answers that are not 200.
-	others sync.Map
+	// errorBodies holds the distinct bodies of responses with a status other than 200.
+	errorBodies sync.Map
 }
 
-func startRig(c *qt.C) *rig {
+func startFixture(c *qt.C) *fixture {
 	servers := []dev.Server{}
 	for node := range 3 {
 		servers = append(servers, dev.Server{Node: node, Mesh: rolloutMesh, Service: rolloutService, Version: "v1"})
@@ -50,7 +51,7 @@
 	mesh, err := dev.Start(dev.Config{Servers: servers, Rollouts: true, Log: logr.Discard()})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { c.Check(mesh.Stop(), qt.IsNil) })
-	r := &rig{mesh: mesh, client: &operator.Client{Addr: mesh.Nodes[0].Operator, HTTP: &http.Client{Timeout: 10 * time.Second}}}
+	r := &fixture{mesh: mesh, client: &operator.Client{Addr: mesh.Nodes[0].Operator, HTTP: &http.Client{Timeout: 10 * time.Second}}}
 	m := manifest.Manifest{Mesh: rolloutMesh, Version: 1, Services: []manifest.Service{{Name: rolloutService}}}
 	for _, path := range []string{"/a/", "/b/"} {
 		var route manifest.Route
@@ -62,7 +63,7 @@
 	c.Assert(err, qt.IsNil)
 	r.eventually(c, func() bool { _, err := r.client.Submit(c.Context(), raw); return err == nil })
 	r.eventually(c, func() bool { return r.call(0, "/a/") == http.StatusOK })
-	// An order for the version that serves is invalid once that one is known.
+	// A roll-out to the version in use is rejected as invalid once that version is known.
 	r.eventually(c, func() bool {
 		_, err := r.order(c, "v1")
 		var coded *result.Error
@@ -71,14 +72,15 @@
 	return r
 }
 
-func (r *rig) eventually(c *qt.C, done func() bool) {
+// eventually polls done until it returns true and fails the test after a minute.
+func (r *fixture) eventually(c *qt.C, done func() bool) {
 	for end := time.Now().Add(time.Minute); !done(); time.Sleep(20 * time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue)
 	}
 }
 
-// call sends one request and returns its status, 0 without one.
-func (r *rig) call(node int, path string) int {
+// call sends one request and returns the status of the response, or 0 without a response.
+func (r *fixture) call(node int, path string) int {
 	resp, err := http.Get("http://" + r.mesh.Nodes[node].Caller + path)
 	if err != nil {
 		return 0
@@ -86,13 +88,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(resp.Body)
-		r.others.Store(string(body), true)
+		r.errorBodies.Store(string(body), true)
 	}
 	return resp.StatusCode
 }
 
-// load sends requests to every daemon until the test ends.
-func (r *rig) load(c *qt.C) {
+// load sends requests to all daemons until the test ends.
+func (r *fixture) load(c *qt.C) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	for i := range callers {
@@ -106,27 +108,28 @@
 				default:
 					r.refused.Add(1)
 				}
-				time.Sleep(callerPause)
+				time.Sleep(callerDelay)
 			}
 		})
 	}
 	c.Cleanup(func() { cancel(); wait.Wait() })
 }
 
-func (r *rig) order(c *qt.C, target string) (source.Answer, error) {
+// order orders a roll-out to the version target.
+func (r *fixture) order(c *qt.C, target string) (source.Answer, error) {
 	return r.client.OrderRollout(c.Context(), operator.RolloutRequest{
 		Mesh: rolloutMesh, Service: rolloutService, Target: target, WithinSeconds: rolloutWithin.Seconds(),
 	})
 }
 
-// decided waits for the end of the roll-out, asking every daemon in turn; what one tells as
-// final every other must tell too.
-func (r *rig) decided(c *qt.C) *fleet.Rollout {
+// waitForEnd waits for the end of the roll-out, querying the daemons in turn. Once one daemon
+// reports a final stage, all others must report the same stage.
+func (r *fixture) waitForEnd(c *qt.C) *fleet.Rollout {
 	var final *fleet.Rollout
-	turn := 0
+	attempt := 0
 	r.eventually(c, func() bool {
-		turn++
-		client := &operator.Client{Addr: r.mesh.Nodes[turn%len(r.mesh.Nodes)].Operator, HTTP: http.DefaultClient}
+		attempt++
+		client := &operator.Client{Addr: r.mesh.Nodes[attempt%len(r.mesh.Nodes)].Operator, HTTP: http.DefaultClient}
 		answer, err := client.Rollout(c.Context(), source.ServiceName{Mesh: rolloutMesh, Service: rolloutService})
 		if err == nil && answer.Rollout.Stage.Final() {
 			final = answer.Rollout
@@ -142,8 +145,8 @@
 	return final
 }
 
-// newVersion starts servers of another version beside the others.
-func (r *rig) newVersion(c *qt.C, version string, fails bool) {
+// startVersion starts one more backend server at each daemon, with the given version.
+func (r *fixture) startVersion(c *qt.C, version string, fails bool) {
 	var servers []dev.Server
 	for node := range 3 {
 		servers = append(servers, dev.Server{Node: node, Mesh: rolloutMesh, Service: rolloutService, Version: version, Fails: fails})
@@ -151,7 +154,9 @@
 	c.Assert(r.mesh.StartServers(servers), qt.IsNil)
 }
 
-func total(c *qt.C, r *rig, from, to int) int {
+// totalRequests returns the number of requests received by the servers with an index in
+// [from, to).
+func totalRequests(c *qt.C, r *fixture, from, to int) int {
 	sum := 0
 	for _, s := range r.mesh.Servers[from:to] {
 		sum += s.Requests()
@@ -159,15 +164,15 @@
 	return sum
 }
 
-// TestRolloutGood moves a service to a version that is good: it gets nothing before the order,
-// and the version before nothing once the roll-out is completed.
+// TestRolloutGood rolls out a healthy version. The version must get no requests before the
+// roll-out is ordered, and the previous version none after it is completed.
 func TestRolloutGood(t *testing.T) {
 	c := qt.New(t)
-	r := startRig(c)
+	r := startFixture(c)
 	r.load(c)
-	r.newVersion(c, "v2", false)
+	r.startVersion(c, "v2", false)
 	time.Sleep(1500 * time.Millisecond)
-	c.Check(total(c, r, 3, 6), qt.Equals, 0, qt.Commentf("no roll-out was ordered"))
+	c.Check(totalRequests(c, r, 3, 6), qt.Equals, 0, qt.Commentf("no roll-out was ordered"))
 
 	answer, err := r.order(c, "v2")
 	c.Assert(err, qt.IsNil)
@@ -178,31 +183,32 @@
 	_, err = r.order(c, "v3")
 	c.Check(err, qt.ErrorMatches, "117 .*")
 
-	end := r.decided(c)
-	before := total(c, r, 0, 3)
+	end := r.waitForEnd(c)
+	before := totalRequests(c, r, 0, 3)
 	c.Check(end.Stage, qt.Equals, fleet.Completed, qt.Commentf("%s", end.Why))
 	time.Sleep(500 * time.Millisecond)
-	c.Check(total(c, r, 0, 3), qt.Equals, before, qt.Commentf("the version before got requests after the end"))
-	r.others.Range(func(body, _ any) bool { t.Log(body); return true })
+	c.Check(totalRequests(c, r, 0, 3), qt.Equals, before, qt.Commentf("the version before got requests after the end"))
+	r.errorBodies.Range(func(body, _ any) bool { t.Log(body); return true })
 	c.Check(r.failed.Load()+r.refused.Load(), qt.Equals, int64(0))
 	_, err = r.order(c, "v2")
 	c.Check(err, qt.IsNil, qt.Commentf("the same order is acknowledged after the end too"))
 }
 
-// TestRolloutBad rolls a version back that fails every second request.
+// TestRolloutBad rolls out a version that fails every second request, which must be rolled
+// back.
 func TestRolloutBad(t *testing.T) {
 	c := qt.New(t)
-	r := startRig(c)
+	r := startFixture(c)
 	r.load(c)
 	r.eventually(c, func() bool { _, err := r.order(c, "v2"); return err == nil })
-	began := total(c, r, 0, 3)
-	r.newVersion(c, "v2", true)
-	end := r.decided(c)
+	baseline := totalRequests(c, r, 0, 3)
+	r.startVersion(c, "v2", true)
+	end := r.waitForEnd(c)
 	c.Check(end.Stage, qt.Equals, fleet.RolledBack)
-	bad, all := total(c, r, 3, 6), total(c, r, 0, 6)-began
+	bad, all := totalRequests(c, r, 3, 6), totalRequests(c, r, 0, 6)-baseline
 	c.Check(float64(bad) <= 0.1*float64(all)+50, qt.IsTrue, qt.Commentf("%d of %d", bad, all))
 	time.Sleep(500 * time.Millisecond)
-	c.Check(total(c, r, 3, 6), qt.Equals, bad, qt.Commentf("the version got requests after it was rolled back"))
+	c.Check(totalRequests(c, r, 3, 6), qt.Equals, bad, qt.Commentf("the version got requests after it was rolled back"))
 	c.Check(r.refused.Load(), qt.Equals, int64(0))
 	t.Logf("%s; %d of %d requests went to the version, %d failed", end.Why, bad, all, r.failed.Load())
 }
