--- a/internal/process/spread/confirm.go
+++ b/internal/process/spread/confirm.go
@@ -6,184 +6,194 @@
 	"time"
 )
 
-// confirm is this node's side of the question "what is committed at the
-// leader?". A daemon keeps nothing over a restart; it asks after its start,
-// and is not ready below the version it is told, so that it never serves one
-// lower than it had: that one was committed before the question was put.
+// confirmState tracks this node's queries for the version committed at the leader. A daemon
+// keeps no state over a restart. It sends a query after its start and is not ready until it
+// has installed at least the version in the answer. It therefore never serves an older
+// version than before the restart, because that one was committed before the query was sent.
 //
-// The question goes up the tree to the leader and the answer comes down, as
-// fields of the digests. A node has at most one question outstanding: what
-// children ask meanwhile is put together in the next one.
-type confirm struct {
-	// base is random, so that an answer to an earlier life is not taken.
+// Queries are forwarded up the tree to the leader and answers down the tree, as fields of the
+// digests. A node has at most one outstanding query; queries that children send in the
+// meantime are combined into the next one.
+type confirmState struct {
+	// base is a random number below the first query, so that an answer to a query from
+	// before a restart is not accepted.
 	base uint64
-	// asked is the newest question put, answered the newest answered;
-	// base <= answered <= asked.
-	asked    uint64
-	answered uint64
-	// floor is the version to reach, once by is set.
-	floor uint64
-	by    Confirmation
-	// done stays true once the floor was reached.
+	// lastAsked is the number of the newest query sent, lastAnswered that of the newest
+	// query answered; base <= lastAnswered <= lastAsked.
+	lastAsked    uint64
+	lastAnswered uint64
+	// minVersion is the version that must be installed. It is valid once confirmedBy is
+	// set.
+	minVersion  uint64
+	confirmedBy Confirmation
+	// done becomes true, for good, when minVersion is installed.
 	done bool
 }
 
-// childAsk is a child's question.
+// childAsk is the latest query of a child.
 type childAsk struct {
-	// ask is the child's number for it; 0 is none.
-	ask uint64
-	at  time.Time
-	// cover is this node's question that stands for it; 0 is none yet.
-	cover  uint64
-	answer *Confirmed
+	// ask is the number of the query at the child; 0 means none.
+	ask        uint64
+	receivedAt time.Time
+	// coveredBy is the number of this node's query that includes the child's query; 0
+	// means none yet.
+	coveredBy uint64
+	answer    *Confirmed
 }
 
-func newConfirm(r *rand.Rand) confirm {
+func newConfirmState(r *rand.Rand) confirmState {
 	base := r.Uint64()>>1 + 1
-	return confirm{base: base, answered: base, asked: base + 1}
+	return confirmState{base: base, lastAnswered: base, lastAsked: base + 1}
 }
 
-func (f *confirm) outstanding() uint64 {
-	if f.asked == f.answered {
+// outstanding returns the number of the unanswered query, or 0.
+func (s *confirmState) outstanding() uint64 {
+	if s.lastAsked == s.lastAnswered {
 		return 0
 	}
-	return f.asked
+	return s.lastAsked
 }
 
-// Confirmed tells how the installed version was found to be no older than the
-// one this daemon had before its start. Once it is not Unconfirmed it stays so.
+// Confirmed returns how it was confirmed that the installed version is no older than any
+// version that this daemon had before its start. Once confirmed, it never returns Unconfirmed
+// again.
 func (c *Core) Confirmed() Confirmation {
 	if !c.confirm.done {
 		return Unconfirmed
 	}
-	return c.confirm.by
+	return c.confirm.confirmedBy
 }
 
-// Asked reports whether a question waits for the leader's answer here.
+// Asked reports whether a query of this node or of a child is unanswered.
 func (c *Core) Asked() bool {
-	waits := func(l *link) bool { return l.asks.ask != 0 && l.asks.answer == nil }
-	return c.confirm.outstanding() != 0 || slices.ContainsFunc(c.links, waits)
+	unanswered := func(l *link) bool { return l.childAsk.ask != 0 && l.childAsk.answer == nil }
+	return c.confirm.outstanding() != 0 || slices.ContainsFunc(c.links, unanswered)
 }
 
-func (c *Core) takeAsk(l *link, ask uint64) {
-	if ask == l.asks.ask {
-		// The answer may have been lost.
-		l.due = l.due || l.asks.answer != nil
+// receiveAsk handles the query number in the report of a child.
+func (c *Core) receiveAsk(l *link, ask uint64) {
+	if ask == l.childAsk.ask {
+		// The answer may have been lost; send it again.
+		l.digestDue = l.digestDue || l.childAsk.answer != nil
 		return
 	}
-	l.asks = childAsk{ask: ask, at: c.now}
-	c.coverAsks()
+	l.childAsk = childAsk{ask: ask, receivedAt: c.now}
+	c.forwardAsks()
 }
 
-// coverAsks puts one question for all that children asked, unless one is
-// outstanding. The leader answers them itself in tickConfirm.
-func (c *Core) coverAsks() {
+// forwardAsks sends one query on behalf of all unanswered queries of children, unless a query
+// is outstanding. The leader does not forward queries but answers them in tickConfirm.
+func (c *Core) forwardAsks() {
 	if c.lead != nil || c.confirm.outstanding() != 0 {
 		return
 	}
 	covered := false
 	for _, l := range c.links {
-		if l.asks.ask != 0 && l.asks.cover == 0 && l.asks.answer == nil {
-			l.asks.cover = c.confirm.asked + 1
+		if l.childAsk.ask != 0 && l.childAsk.coveredBy == 0 && l.childAsk.answer == nil {
+			l.childAsk.coveredBy = c.confirm.lastAsked + 1
 			covered = true
 		}
 	}
 	if !covered {
 		return
 	}
-	c.confirm.asked++
+	c.confirm.lastAsked++
 	if p := c.link(c.parent); p != nil {
-		p.due = true
+		p.digestDue = true
 	}
 }
 
-// takeConfirmed takes in the answer to an own question, whoever brings it.
-func (c *Core) takeConfirmed(a Confirmed) {
-	f := &c.confirm
-	if a.Ask <= f.answered || a.Ask > f.asked {
+// receiveConfirmed handles the answer to a query of this node, from any linked node.
+func (c *Core) receiveConfirmed(a Confirmed) {
+	s := &c.confirm
+	if a.Ask <= s.lastAnswered || a.Ask > s.lastAsked {
 		return
 	}
-	f.answered = a.Ask
-	c.setFloor(a.Version, ByQuorum)
+	s.lastAnswered = a.Ask
+	c.setMinVersion(a.Version, ByQuorum)
 	for _, l := range c.links {
-		if l.asks.cover != 0 && l.asks.cover <= a.Ask {
+		if l.childAsk.coveredBy != 0 && l.childAsk.coveredBy <= a.Ask {
 			c.answer(l, a.Version)
 		}
 	}
-	c.coverAsks()
+	c.forwardAsks()
 }
 
-// Committed takes in the version that the leader told directly, asked since this
-// node's start.
+// Committed handles the committed version that the leader returned to a direct request sent
+// after the start of this node.
 func (c *Core) Committed(version uint64) []Action {
-	c.setFloor(version, ByQuorum)
-	c.tickFloor()
+	c.setMinVersion(version, ByQuorum)
+	c.checkMinVersion()
 	return c.flush()
 }
 
-// tickFloor notes when the floor is reached.
-func (c *Core) tickFloor() {
-	if c.confirm.by != Unconfirmed && c.state.Version >= c.confirm.floor {
+// checkMinVersion sets done once minVersion is installed.
+func (c *Core) checkMinVersion() {
+	if c.confirm.confirmedBy != Unconfirmed && c.state.Version >= c.confirm.minVersion {
 		c.confirm.done = true
 	}
 }
 
+// answer answers the query of a child, unless it is already answered.
 func (c *Core) answer(l *link, version uint64) {
-	if l.asks.answer == nil {
-		l.asks.answer = &Confirmed{Ask: l.asks.ask, Version: version}
-		l.due = true
+	if l.childAsk.answer == nil {
+		l.childAsk.answer = &Confirmed{Ask: l.childAsk.ask, Version: version}
+		l.digestDue = true
 	}
 }
 
-func (c *Core) setFloor(version uint64, by Confirmation) {
-	f := &c.confirm
-	if f.by == Unconfirmed || (f.by == ByPeers && by == ByQuorum) {
-		f.floor, f.by = version, by
+// setMinVersion sets the version to be installed. A version from the leader replaces one from
+// the peers; otherwise the first one is kept.
+func (c *Core) setMinVersion(version uint64, by Confirmation) {
+	s := &c.confirm
+	if s.confirmedBy == Unconfirmed || (s.confirmedBy == ByPeers && by == ByQuorum) {
+		s.minVersion, s.confirmedBy = version, by
 	}
 }
 
-// tickConfirm answers as the leader, goes by the peers in an outage of the
-// sources, and notes when the floor is reached.
+// tickConfirm answers queries if this node is the leader and forwards them otherwise. In an
+// outage of the sources it falls back to the versions of the peers.
 func (c *Core) tickConfirm() {
 	if c.lead != nil {
 		c.answerAsLeader()
 	} else {
-		c.coverAsks()
+		c.forwardAsks()
 	}
-	if c.confirm.by == Unconfirmed && c.age(c.start) > c.cfg.OutageAfter && c.Stale(c.now) {
-		c.goByPeers()
+	if c.confirm.confirmedBy == Unconfirmed && c.age(c.start) > c.cfg.OutageAfter && c.Stale(c.now) {
+		c.confirmByPeers()
 	}
-	c.tickFloor()
+	c.checkMinVersion()
 }
 
-// answerAsLeader answers what was asked before a majority acknowledged the
-// leader anew: whatever was committed when it was asked, this leader has.
+// answerAsLeader answers the queries that were received before the start of the last round in
+// which a majority acknowledged the leader. Everything that was committed at the time of such
+// a query is known to this leader.
 func (c *Core) answerAsLeader() {
 	version := max(c.lead.Version, c.state.Version)
 	if c.lead.Quorum.After(c.start) && c.confirm.outstanding() != 0 {
-		c.takeConfirmed(Confirmed{Ask: c.confirm.asked, Version: version})
+		c.receiveConfirmed(Confirmed{Ask: c.confirm.lastAsked, Version: version})
 	}
 	for _, l := range c.links {
-		if l.asks.ask != 0 && c.lead.Quorum.After(l.asks.at) {
+		if l.childAsk.ask != 0 && c.lead.Quorum.After(l.childAsk.receivedAt) {
 			c.answer(l, version)
 		}
 	}
 }
 
-// minPeers is the least number of linked daemons to go by in an outage.
+// minPeers is the minimum number of linked daemons for confirmByPeers.
 const minPeers = 2
 
-// goByPeers takes the highest version among all linked daemons as the floor,
-// once each of them has told its own.
-func (c *Core) goByPeers() {
-	floor := uint64(0)
+// confirmByPeers uses the highest version of all linked daemons as minVersion, once each of
+// them has sent a digest.
+func (c *Core) confirmByPeers() {
+	highest := uint64(0)
 	for _, l := range c.links {
-		if !l.heard {
+		if !l.digestReceived {
 			return
 		}
-		floor = max(floor, l.version)
+		highest = max(highest, l.version)
 	}
 	if len(c.links) >= minPeers {
-		c.setFloor(floor, ByPeers)
+		c.setMinVersion(highest, ByPeers)
 	}
 }
--- a/internal/process/spread/core.go
+++ b/internal/process/spread/core.go
@@ -1,18 +1,18 @@
-// Package spread decides how accepted versions reach every daemon.
+// Package spread implements the dissemination of accepted versions to all daemons.
 //
-// The leader's heartbeat shapes a tree over the links: each node takes as its
-// parent the link that leads to the leader over the fewest hops, and tells it
-// so in its digests. Versions and heartbeats are pushed from parent to child;
-// every other link carries only a digest at each interval, by which a node finds
-// that its parent is behind and takes the link that was first instead. This is
-// the eager and lazy push of Leitão, Pereira and Rodrigues, "Epidemic Broadcast
-// Trees" (2007), but the receiver owns its one tree link, so that two nodes
-// never both drop the link between them, and the messages that graft and prune
-// are fields of the digest: losing one costs an interval, not the tree.
+// The leader's heartbeat builds a distribution tree over the links between daemons. Each node
+// chooses as its parent the link with the fewest hops to the leader and announces the choice
+// to the parent in its digests. Versions and heartbeats are pushed from parent to child. All
+// other links carry only a digest per interval. If a digest shows that the parent is behind,
+// the node makes the link that delivered the heartbeat first its new parent. This is the
+// combination of eager and lazy push of Leitão, Pereira and Rodrigues, "Epidemic Broadcast
+// Trees" (2007), with two differences. Only the receiver decides on its tree link, so that two
+// nodes never both drop the link between them. The graft and prune messages are fields of the
+// digest, so that losing one delays the repair by an interval but does not break the tree.
 //
-// The package does no I/O: messages, time and a seed come in, actions go out. A
-// Core never installs a version lower than the one it has, and none that does
-// not compile.
+// The package performs no I/O: its inputs are messages, the current time and a seed, its
+// outputs are actions. A Core never installs a version lower than its current one, or a
+// version that does not compile.
 package spread
 
 import (
@@ -25,117 +25,129 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// link is what a node knows of one linked node.
+// link is the state of the link to one other node.
 type link struct {
 	name string
-	// heard tells that a digest came since the link is up.
-	heard bool
-	// version is the newest the node is known to have.
+	// digestReceived is true if a digest was received since the link came up.
+	digestReceived bool
+	// version is the newest version that the node is known to have.
 	version uint64
-	// ahead is since when version is above the own; zero while it is not.
-	ahead time.Time
-	// diverged tells that the node has other content under its version.
-	diverged bool
-	beat     Heartbeat
-	depth    uint32
+	// aheadSince is the time since which version is higher than the version of this node;
+	// zero if it is not higher.
+	aheadSince time.Time
+	// diverged is true if the node has different content under the same version.
+	diverged      bool
+	lastHeartbeat Heartbeat
+	depth         uint32
 
-	// child tells that the node has chosen this one as its parent.
+	// child is true if the node has chosen this one as its parent. report is the count in
+	// its last report.
 	child  bool
 	report InForce
-	// sent is the newest version that the node has or was sent.
-	sent uint64
-	asks childAsk
+	// sentVersion is the newest version that the node has or that was sent to it.
+	sentVersion uint64
+	childAsk    childAsk
 
-	// avoid is until when nothing is pulled over the link.
-	avoid    time.Time
+	// avoidUntil is the time until which nothing is pulled over the link.
+	avoidUntil time.Time
+	// transfer is the chunked transfer being served to the node, or nil.
 	transfer *transfer
 
-	digestAt time.Time
-	// digests counts what was sent since the link or the child is new; told
-	// is what the last of them told.
-	digests uint64
-	told    told
-	// due tells that a digest must go out with this event.
-	due bool
+	digestSentAt time.Time
+	// digestCount is the number of digests sent since the link came up or the node became
+	// a child. lastSent summarizes the optional fields that were last sent.
+	digestCount uint64
+	lastSent    digestSummary
+	// digestDue is true if a digest must be sent at the end of the current event.
+	digestDue bool
 }
 
 // Core holds the state of one daemon. It is not safe for concurrent use.
 type Core struct {
 	cfg  Config
 	rand *rand.Rand
-	// now is the time of the newest event, start that of the first tick.
+	// now is the time of the newest event, start the time of the first tick.
 	now   time.Time
 	start time.Time
 
-	// state only ever goes up in version; compiled is made from it, nil before
-	// the first version.
+	// state is the installed state; its version never decreases. compiled is compiled from
+	// state and nil before the first version. history holds the deltas that led to state.
 	state    *fleet.State
 	compiled *snapshot.Snapshot
 	history  fleet.History
-	// links are in order of name, so that equal events give equal actions.
+	// links is sorted by name, so that equal events result in equal actions.
 	links []*link
-	out   []Action
+	// actions collects the actions of the current event.
+	actions []Action
 
-	// heartbeat is the newest; beatAt is when it came, first the link by which.
-	heartbeat Heartbeat
-	beatAt    time.Time
-	first     string
-	// seekAt is when another link is asked for; zero while the heartbeat comes.
-	seekAt time.Time
-	// fleet is the number of daemons, as far as it is known.
-	fleet int
-	// lead is set while this node is the leader; parent is then "".
+	// heartbeat is the newest heartbeat, heartbeatAt the time it arrived, heartbeatFrom the
+	// name of the link that delivered it first.
+	heartbeat     Heartbeat
+	heartbeatAt   time.Time
+	heartbeatFrom string
+	// nextSeek is when another link is requested; zero while heartbeats arrive.
+	nextSeek time.Time
+	// fleetSize is the number of known daemons.
+	fleetSize int
+	// lead is set while this node is the leader; parent is "" in that case. depth is the
+	// number of hops to the leader.
 	lead   *Lead
 	parent string
 	depth  uint32
 
+	// inForce is the leader's newest count of daemons.
 	inForce InForce
-	// reported is the version whose whole subtree was reported at once.
-	reported uint64
-	confirm  confirm
+	// reportedVersion is the newest version that was reported to the parent ahead of the
+	// interval because the whole subtree had it.
+	reportedVersion uint64
+	confirm         confirmState
 
-	pushAt  time.Time
-	pushDue bool
-	pull    *pull
-	// full tells that the next pull must bring a snapshot.
-	full  bool
-	blobs map[uint64][]byte
+	lastPush time.Time
+	// pushPending is true if a push was delayed by Config.MergeWindow.
+	pushPending bool
+	// pull is the pull in progress, or nil.
+	pull *pull
+	// needSnapshot is true if the next pull must return a snapshot.
+	needSnapshot bool
+	// packedCache holds the packed deltas and snapshots that lead to state, by the version
+	// that they start from.
+	packedCache map[uint64][]byte
 }
 
-// New returns a Core that begins with state.
+// New returns a Core with the initial state.
 func New(cfg Config, state *fleet.State) *Core {
 	c := &Core{
 		cfg: cfg.withDefaults(), rand: rand.New(rand.NewPCG(cfg.Seed, 3)),
-		state: state, blobs: map[uint64][]byte{}, depth: unknownDepth,
+		state: state, packedCache: map[uint64][]byte{}, depth: unknownDepth,
 	}
 	c.history = fleet.History{Count: c.cfg.History, Bytes: c.cfg.HistoryBytes}
-	c.confirm = newConfirm(c.rand)
+	c.confirm = newConfirmState(c.rand)
 	return c
 }
 
-// State is the newest version installed.
+// State returns the installed state.
 func (c *Core) State() *fleet.State { return c.state }
 
-// Heartbeat returns the newest heartbeat and when it came.
-func (c *Core) Heartbeat() (Heartbeat, time.Time) { return c.heartbeat, c.beatAt }
+// Heartbeat returns the newest heartbeat and the time it arrived.
+func (c *Core) Heartbeat() (Heartbeat, time.Time) { return c.heartbeat, c.heartbeatAt }
 
-// Stale reports whether the leader's heartbeat has been missed for too long.
-func (c *Core) Stale(now time.Time) bool { return now.Sub(c.beatAt) > c.cfg.StaleAfter }
+// Stale reports whether no heartbeat of the leader arrived for Config.StaleAfter.
+func (c *Core) Stale(now time.Time) bool { return now.Sub(c.heartbeatAt) > c.cfg.StaleAfter }
 
-// Parent returns the parent in the tree, or "", and the hops to the leader.
+// Parent returns the parent in the tree, or "", and the number of hops to the leader.
 func (c *Core) Parent() (string, uint32) { return c.parent, c.depth }
 
-// LinkUp adds a link and offers a digest.
+// LinkUp adds a link and sends a digest over it.
 func (c *Core) LinkUp(node string) []Action {
 	i, found := c.find(node)
 	if !found {
 		c.links = slices.Insert(c.links, i, &link{name: node, depth: unknownDepth})
 	}
-	c.links[i].due = true
+	c.links[i].digestDue = true
 	return c.flush()
 }
 
-// LinkDown removes a link. If it led to the parent, another takes its place.
+// LinkDown removes a link. If the node was the parent, another parent is chosen.
 func (c *Core) LinkDown(node string) []Action {
 	i, found := c.find(node)
 	if !found {
@@ -146,13 +158,13 @@
 		c.pull = nil
 	}
 	if c.parent == node {
-		c.loseParent()
+		c.replaceParent()
 	}
 	c.catchUp()
 	return c.flush()
 }
 
-// Publish installs a state that this node learned as a source.
+// Publish installs a newer state that this node learned as a source.
 func (c *Core) Publish(state *fleet.State) []Action {
 	if state.Version > c.state.Version {
 		c.install(state, fleet.Diff(c.state, state))
@@ -160,7 +172,7 @@
 	return c.flush()
 }
 
-// Receive takes in a message of a linked node; others are not listened to.
+// Receive handles a message from a linked node. Messages from other nodes are ignored.
 func (c *Core) Receive(now time.Time, from string, m Message) []Action {
 	c.now = now
 	l := c.link(from)
@@ -180,31 +192,31 @@
 	return c.flush()
 }
 
-// Tick does what is due by time. lead is nil unless this node is a source that
-// leads.
+// Tick performs the work that is due at now. It must be called regularly. lead is nil unless
+// this node is the leader of the sources.
 func (c *Core) Tick(now time.Time, lead *Lead) []Action {
 	c.now = now
 	if c.start.IsZero() {
 		c.start = now
 	}
-	c.takeLead(lead)
+	c.updateLead(lead)
 	c.checkParent()
 	c.tickConfirm()
 	c.tickTransfers()
 	c.catchUp()
-	if c.pushDue && c.now.Sub(c.pushAt) >= c.cfg.MergeWindow {
+	if c.pushPending && c.now.Sub(c.lastPush) >= c.cfg.MergeWindow {
 		c.push()
 	}
 	for _, l := range c.links {
-		if c.now.Sub(l.digestAt) >= c.digestInterval(l) {
-			l.due = true
+		if c.now.Sub(l.digestSentAt) >= c.digestInterval(l) {
+			l.digestDue = true
 		}
 	}
 	c.seek()
 	return c.flush()
 }
 
-// install puts a state in force, or refuses it whole.
+// install puts a state in force, or rejects it as a whole if it does not compile.
 func (c *Core) install(state *fleet.State, delta *fleet.Delta) bool {
 	compiled, err := snapshot.CompileAfter(c.compiled, state)
 	if err != nil {
@@ -213,33 +225,33 @@
 	}
 	c.state = state
 	c.compiled = compiled
-	c.full = false
+	c.needSnapshot = false
 	c.history.Add(delta)
-	clear(c.blobs)
-	c.out = append(c.out, Action{Install: compiled})
+	clear(c.packedCache)
+	c.actions = append(c.actions, Action{Install: compiled})
 	for _, l := range c.links {
-		c.noteAhead(l)
-		// One that has nothing yet is told at once and not with the next digest: after a
-		// start of the whole fleet that is a second sooner for daemons whose links came up
-		// before the sources had read their logs.
-		l.due = l.due || (l.heard && l.version == 0)
+		c.updateAheadSince(l)
+		// A node without any version gets a digest at once. After a start of the whole
+		// fleet, daemons whose links came up before the sources had read their logs
+		// learn of the version up to a second earlier.
+		l.digestDue = l.digestDue || (l.digestReceived && l.version == 0)
 	}
-	if c.now.Sub(c.pushAt) >= c.cfg.MergeWindow {
+	if c.now.Sub(c.lastPush) >= c.cfg.MergeWindow {
 		c.push()
 	} else {
-		c.pushDue = true
+		c.pushPending = true
 	}
-	c.reportWhole()
+	c.reportWhenComplete()
 	return true
 }
 
-func (c *Core) reject(err error) { c.out = append(c.out, Action{Rejected: err}) }
+func (c *Core) reject(err error) { c.actions = append(c.actions, Action{Rejected: err}) }
 
 func (c *Core) send(to string, m Message) {
-	c.out = append(c.out, Action{Send: &Send{To: to, Message: m}})
+	c.actions = append(c.actions, Action{Send: &Send{To: to, Message: m}})
 }
 
-// find returns the place of a link in the order.
+// find returns the index of the link to a node, or the index at which to insert it.
 func (c *Core) find(node string) (int, bool) {
 	return slices.BinarySearchFunc(c.links, node, func(l *link, name string) int { return strings.Compare(l.name, name) })
 }
@@ -252,28 +264,29 @@
 	return nil
 }
 
-// flush sends the digests that are due, one for each link, and hands out what
-// this event has brought about.
+// flush sends the digests that are due, at most one per link, and returns the actions of the
+// current event.
 func (c *Core) flush() []Action {
-	if c.pushDue && c.childDue() {
-		// The digest would have the child pull what is about to be pushed.
+	if c.pushPending && c.childDigestDue() {
+		// The digest would cause the child to pull the version that is about to be pushed.
 		c.push()
 	}
 	for _, l := range c.links {
-		if l.due {
-			l.due = false
-			l.digestAt = c.now
+		if l.digestDue {
+			l.digestDue = false
+			l.digestSentAt = c.now
 			c.send(l.name, Message{Digest: c.digest(l)})
 		}
 	}
-	out := c.out
-	c.out = nil
-	return out
+	actions := c.actions
+	c.actions = nil
+	return actions
 }
 
-func (c *Core) childDue() bool {
+// childDigestDue reports whether a digest to any child is due.
+func (c *Core) childDigestDue() bool {
 	for _, l := range c.links {
-		if l.child && l.due {
+		if l.child && l.digestDue {
 			return true
 		}
 	}
--- a/internal/process/spread/digest.go
+++ b/internal/process/spread/digest.go
@@ -2,81 +2,86 @@
 
 import "time"
 
-// told is a version, and the count of a version.
-type told struct {
-	version        uint64
-	counted, count uint64
+// digestSummary identifies the last version hash and the last count that were sent over a
+// link.
+type digestSummary struct {
+	version                uint64
+	countVersion, countSum uint64
 }
 
-// digestInterval spares a child the digest that the next heartbeat makes
-// redundant.
+// digestInterval returns the time between digests on a link. It is longer for a child,
+// because the digest with the next heartbeat makes the regular one redundant.
 func (c *Core) digestInterval(l *link) time.Duration {
 	if l.child && !c.Stale(c.now) {
-		return c.cfg.DigestInterval + c.cfg.BeatInterval/2
+		return c.cfg.DigestInterval + c.cfg.HeartbeatInterval/2
 	}
 	return c.cfg.DigestInterval
 }
 
 func (c *Core) receiveDigest(l *link, d *Digest) {
-	l.heard = true
+	l.digestReceived = true
 	if d.Heartbeat.Term == 0 && c.heartbeat.Term > 0 {
-		// It has just started, maybe before its end was noticed here.
-		l.due = true
+		// The node has just restarted, possibly before this node noticed that it was
+		// down.
+		l.digestDue = true
 	}
-	c.compare(l, d.Version, d.Hash)
-	c.takeBeat(l, d)
-	c.takeReport(l, d)
+	c.compareVersion(l, d.Version, d.Hash)
+	c.receiveHeartbeat(l, d)
+	c.receiveReport(l, d)
 	if d.Confirmed != nil {
-		c.takeConfirmed(*d.Confirmed)
+		c.receiveConfirmed(*d.Confirmed)
 	}
 	c.catchUp()
 }
 
-// compare notes the version of a linked node.
-func (c *Core) compare(l *link, version, hash uint64) {
+// compareVersion records the version of a linked node and reports different content under the
+// same version. A hash of 0 means that the hash is unchanged since the last digest with one.
+func (c *Core) compareVersion(l *link, version, hash uint64) {
 	l.version = version
-	l.sent = max(l.sent, version)
-	c.noteAhead(l)
+	l.sentVersion = max(l.sentVersion, version)
+	c.updateAheadSince(l)
 	if hash == 0 && version == c.state.Version {
 		return
 	}
 	differs := version == c.state.Version && hash != c.state.Hash()
 	if differs && !l.diverged {
-		c.out = append(c.out, Action{Diverged: &Diverged{Node: l.name, Version: version, Own: c.state.Hash(), Other: hash}})
+		c.actions = append(c.actions, Action{Diverged: &Diverged{Node: l.name, Version: version, Own: c.state.Hash(), Other: hash}})
 	}
 	l.diverged = differs
 }
 
-func (c *Core) noteAhead(l *link) {
+// updateAheadSince sets or clears aheadSince after a change of either version.
+func (c *Core) updateAheadSince(l *link) {
 	switch {
 	case l.version <= c.state.Version:
-		l.ahead = time.Time{}
-	case l.ahead.IsZero():
-		l.ahead = c.now
+		l.aheadSince = time.Time{}
+	case l.aheadSince.IsZero():
+		l.aheadSince = c.now
 	}
 }
 
-// retell is the number of digests after which one tells again what has not
-// changed since it was told.
-const retell = 16
+// fullDigestEvery is the number of digests after which unchanged optional fields are sent
+// again.
+const fullDigestEvery = 16
 
+// digest returns the next digest to send over a link.
 func (c *Core) digest(l *link) *Digest {
 	d := &Digest{Version: c.state.Version, Heartbeat: c.heartbeat, Depth: c.depth}
-	again := l.digests%retell == 0
-	l.digests++
-	if again || l.told.version != d.Version {
+	full := l.digestCount%fullDigestEvery == 0
+	l.digestCount++
+	if full || l.lastSent.version != d.Version {
 		d.Hash = c.state.Hash()
-		l.told.version = d.Version
+		l.lastSent.version = d.Version
 	}
-	changed := l.told.counted != c.inForce.Version || l.told.count != c.inForce.Sum
-	if l.child && c.inForce.Count > 0 && (again || changed) {
+	changed := l.lastSent.countVersion != c.inForce.Version || l.lastSent.countSum != c.inForce.Sum
+	if l.child && c.inForce.Count > 0 && (full || changed) {
 		inForce := c.inForce
 		d.InForce = &inForce
-		l.told.counted, l.told.count = inForce.Version, inForce.Sum
+		l.lastSent.countVersion, l.lastSent.countSum = inForce.Version, inForce.Sum
 	}
 	if l.name == c.parent {
 		d.Report = &Report{InForce: c.subtree(), Ask: c.confirm.outstanding()}
 	}
-	d.Confirmed = l.asks.answer
+	d.Confirmed = l.childAsk.answer
 	return d
 }
--- a/internal/process/spread/driver_test.go
+++ b/internal/process/spread/driver_test.go
@@ -19,25 +19,27 @@
 const (
 	step  = 5 * time.Millisecond
 	lease = time.Second
-	// detect is how long a link is dead before its ends are told.
-	detect = 2500 * time.Millisecond
+	// linkTimeout is how long a link is broken before its ends are notified.
+	linkTimeout = 2500 * time.Millisecond
 )
 
-// node is one daemon of the driver. A restart makes a new core; only have, the
-// log of a source, survives.
+// node is one simulated daemon. A restart replaces its core; only logVersion, the newest
+// version in the log of a source, is kept.
 type node struct {
 	name          string
 	core          *spread.Core
 	dead, frozen  bool
 	source        bool
-	have          int
+	logVersion    int
 	links         map[string]bool
 	sent, packets int
-	// highest is the highest version of all lives, floor that before this one.
-	highest, floor uint64
-	at             time.Duration
-	phase          time.Duration
-	seeks          int
+	// highest is the highest version installed by any process of the daemon, minVersion
+	// the highest installed before the last restart, installedAt the time of the last
+	// install.
+	highest, minVersion uint64
+	installedAt         time.Duration
+	phase               time.Duration
+	seeks               int
 }
 
 type packet struct {
@@ -46,21 +48,21 @@
 	m        spread.Message
 }
 
-// net drives cores in memory: time moves in steps, every delay is drawn from
-// the seed, and the sources are a plain list of accepted states.
+// network runs cores in memory. Time advances in steps, all delays are random but
+// reproducible from the seed, and the log of the sources is a plain list of accepted states.
 type network struct {
-	cfg    spread.Config
-	rand   *rand.Rand
-	now    time.Duration
-	nodes  map[string]*node
-	order  []*node
-	wires  [][2]string                 // the edges, in order
-	edges  map[[2]string]time.Duration // when the edge was last whole
-	cut    map[string]int              // group of each node; 0 by default
-	flight []packet
-	log    []*fleet.State
-	// lead leads in term and reached a majority at quorum last; deposed still
-	// believes in its Lead until deposedEnd.
+	cfg         spread.Config
+	rand        *rand.Rand
+	now         time.Duration
+	nodes       map[string]*node
+	order       []*node
+	sortedEdges [][2]string                 // the edges, sorted
+	edges       map[[2]string]time.Duration // when the edge last worked
+	partition   map[string]int              // partition of each node; 0 by default
+	inFlight    []packet
+	log         []*fleet.State
+	// lead is the leader of term, which last reached a majority at time quorum. deposed is
+	// the previous leader, which keeps acting on oldLead until deposedEnd.
 	lead       string
 	term       uint64
 	quorum     time.Duration
@@ -78,19 +80,19 @@
 func newNetwork(seed uint64, size, degree int, cfg spread.Config) *network {
 	n := &network{
 		cfg: cfg, rand: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{},
-		edges: map[[2]string]time.Duration{}, cut: map[string]int{},
+		edges: map[[2]string]time.Duration{}, partition: map[string]int{},
 		log: []*fleet.State{fleet.Empty()}, trace: func(string, ...any) {}, size: func(spread.Message) int { return 0 },
 	}
 	for i := range size {
 		name := fmt.Sprintf("n%03d", i)
 		n.nodes[name] = &node{name: name, source: i < 3, links: map[string]bool{}, phase: time.Duration(n.rand.IntN(20)) * step}
 		n.order = append(n.order, n.nodes[name])
-		n.boot(n.nodes[name])
+		n.restart(n.nodes[name])
 	}
 	names := slices.Sorted(maps.Keys(n.nodes))
 	for i, a := range names {
 		for range (degree + 1) / 2 {
-			// A ring keeps the graph whole; the other edges are random.
+			// A ring keeps the graph connected; the other edges are random.
 			b := names[(i+1)%size]
 			if n.edges[edge(a, b)] != 0 {
 				b = names[n.rand.IntN(size)]
@@ -100,14 +102,15 @@
 			}
 		}
 	}
-	n.wires = slices.SortedFunc(maps.Keys(n.edges), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) })
+	n.sortedEdges = slices.SortedFunc(maps.Keys(n.edges), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) })
 	return n
 }
 
 func edge(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
-// sizer returns the encoded size of a message in an envelope of its own, with
-// the headers of the call and of its answer, on a connection in use.
+// sizer returns a function that computes the encoded size of a message in its own envelope,
+// including the net/rpc headers of request and response, on a connection over which the
+// types have already been sent.
 func sizer() func(spread.Message) int {
 	type item struct{ Spread *spread.Message }
 	type envelope struct {
@@ -130,28 +133,29 @@
 	return size
 }
 
-func (n *network) boot(d *node) {
+func (n *network) restart(d *node) {
 	cfg := n.cfg
 	cfg.Self, cfg.Seed = d.name, n.rand.Uint64()
 	d.core = spread.New(cfg, fleet.Empty())
-	d.dead, d.frozen, d.floor = false, false, d.highest
+	d.dead, d.frozen, d.minVersion = false, false, d.highest
 	if n.deposed == d.name {
 		n.deposed = ""
 	}
 	clear(d.links)
-	if d.source && d.have > 0 {
-		n.do(d, d.core.Publish(n.log[d.have]))
+	if d.source && d.logVersion > 0 {
+		n.execute(d, d.core.Publish(n.log[d.logVersion]))
 	}
 }
 
-func (n *network) reach(a, b *node) bool {
-	return !a.dead && !b.dead && !a.frozen && !b.frozen && n.cut[a.name] == n.cut[b.name]
+func (n *network) reachable(a, b *node) bool {
+	return !a.dead && !b.dead && !a.frozen && !b.frozen && n.partition[a.name] == n.partition[b.name]
 }
 
-// accept adds a version through the leader; false while there is none.
+// accept appends a version to the log. It returns false if there is no leader with a
+// majority and the complete log.
 func (n *network) accept(change func(m *manifest.Manifest)) bool {
 	l := n.nodes[n.lead]
-	if l == nil || !n.majority(l) || l.have != len(n.log)-1 {
+	if l == nil || !n.hasMajority(l) || l.logVersion != len(n.log)-1 {
 		return false
 	}
 	m := &manifest.Manifest{Mesh: "m", Version: 1, Services: []manifest.Service{{Name: "s"}}}
@@ -169,32 +173,33 @@
 	return true
 }
 
-// replicate brings every source that the leader reaches up to date.
+// replicate brings every source that the leader can reach up to date.
 func (n *network) replicate() {
 	for _, d := range n.sorted() {
-		if d.source && d.have < len(n.log)-1 && n.reach(d, n.nodes[n.lead]) {
-			d.have = len(n.log) - 1
-			n.do(d, d.core.Publish(n.log[d.have]))
+		if d.source && d.logVersion < len(n.log)-1 && n.reachable(d, n.nodes[n.lead]) {
+			d.logVersion = len(n.log) - 1
+			n.execute(d, d.core.Publish(n.log[d.logVersion]))
 		}
 	}
 }
 
 func (n *network) sorted() []*node { return n.order }
 
-func (n *network) majority(of *node) bool {
+func (n *network) hasMajority(of *node) bool {
 	count := 0
 	for _, d := range n.nodes {
-		if d.source && n.reach(of, d) {
+		if d.source && n.reachable(of, d) {
 			count++
 		}
 	}
 	return count >= 2
 }
 
-// elect moves the leadership when the leader has lost its majority for half a
-// lease; the old one goes on for two more with the quorum that it had.
+// elect elects a new leader when the leader has been without a majority for half a lease.
+// The old leader keeps acting as leader for two more leases, with the quorum time that it
+// had.
 func (n *network) elect() {
-	if l := n.nodes[n.lead]; l != nil && n.majority(l) && l.have == len(n.log)-1 {
+	if l := n.nodes[n.lead]; l != nil && n.hasMajority(l) && l.logVersion == len(n.log)-1 {
 		n.quorum = n.now
 		n.replicate()
 		return
@@ -203,9 +208,9 @@
 		return
 	}
 	for _, d := range n.sorted() {
-		if d.source && n.majority(d) && d.have == len(n.log)-1 {
+		if d.source && n.hasMajority(d) && d.logVersion == len(n.log)-1 {
 			if old := n.nodes[n.lead]; old != nil && old != d {
-				n.deposed, n.oldLead, n.deposedEnd = n.lead, n.newLead(old), n.now+2*lease
+				n.deposed, n.oldLead, n.deposedEnd = n.lead, n.leadership(old), n.now+2*lease
 			}
 			n.lead, n.quorum = d.name, n.now
 			n.term++
@@ -214,14 +219,14 @@
 	}
 }
 
-func (n *network) newLead(d *node) spread.Lead {
-	return spread.Lead{Term: n.term, Version: uint64(d.have), Quorum: epoch.Add(n.quorum)}
+func (n *network) leadership(d *node) spread.Lead {
+	return spread.Lead{Term: n.term, Version: uint64(d.logVersion), Quorum: epoch.Add(n.quorum)}
 }
 
 func (n *network) leadOf(d *node) *spread.Lead {
 	switch {
 	case d.name == n.lead && n.now-n.quorum < lease:
-		lead := n.newLead(d)
+		lead := n.leadership(d)
 		return &lead
 	case d.name == n.deposed && n.now < n.deposedEnd:
 		return &n.oldLead
@@ -234,37 +239,38 @@
 		n.now += step
 		n.elect()
 		if n.now%(20*step) == 0 {
-			n.relink()
+			n.updateLinks()
 		}
 		n.deliver()
 		for _, d := range n.sorted() {
 			if d.dead || d.frozen || (n.now+d.phase)%(100*time.Millisecond) != 0 {
 				continue
 			}
-			n.do(d, d.core.Tick(epoch.Add(n.now), n.leadOf(d)))
+			n.execute(d, d.core.Tick(epoch.Add(n.now), n.leadOf(d)))
 		}
 	}
 }
 
-// relink tells both ends of links that came or have been dead for long.
-func (n *network) relink() {
-	for _, e := range n.wires {
+// updateLinks notifies both ends of links that came up or that have been broken for longer
+// than linkTimeout.
+func (n *network) updateLinks() {
+	for _, e := range n.sortedEdges {
 		a, b := n.nodes[e[0]], n.nodes[e[1]]
-		whole := n.reach(a, b)
+		whole := n.reachable(a, b)
 		if whole {
 			n.edges[e] = n.now
 		}
-		lost := !whole && n.now-n.edges[e] > detect
+		lost := !whole && n.now-n.edges[e] > linkTimeout
 		for _, p := range [][2]*node{{a, b}, {b, a}} {
 			self, other := p[0], p[1]
 			switch {
 			case self.dead || self.frozen || (!whole && !lost) || self.links[other.name] == whole:
 			case whole:
 				self.links[other.name] = true
-				n.do(self, self.core.LinkUp(other.name))
+				n.execute(self, self.core.LinkUp(other.name))
 			default:
 				delete(self.links, other.name)
-				n.do(self, self.core.LinkDown(other.name))
+				n.execute(self, self.core.LinkDown(other.name))
 			}
 		}
 	}
@@ -272,23 +278,23 @@
 
 func (n *network) deliver() {
 	var later, now []packet
-	for _, p := range n.flight {
+	for _, p := range n.inFlight {
 		if p.at > n.now || n.nodes[p.to].frozen {
 			later = append(later, p)
 		} else {
 			now = append(now, p)
 		}
 	}
-	n.flight = later
+	n.inFlight = later
 	for _, p := range now {
-		if to := n.nodes[p.to]; !to.dead && n.cut[p.from] == n.cut[p.to] {
-			n.do(to, to.core.Receive(epoch.Add(n.now), p.from, p.m))
+		if to := n.nodes[p.to]; !to.dead && n.partition[p.from] == n.partition[p.to] {
+			n.execute(to, to.core.Receive(epoch.Add(n.now), p.from, p.m))
 		}
 	}
 }
 
-// do carries out actions and holds each installed version against the log.
-func (n *network) do(d *node, actions []spread.Action) {
+// execute carries out actions and checks each installed version against the log.
+func (n *network) execute(d *node, actions []spread.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Send != nil:
@@ -301,18 +307,18 @@
 			}
 			for _, delay := range delays {
 				p.at = n.now + step + delay
-				n.flight = append(n.flight, p)
+				n.inFlight = append(n.inFlight, p)
 			}
 			n.traceMessage(p)
 		case a.Install != nil:
 			v := a.Install.Version
 			if v != d.core.State().Version || v >= uint64(len(n.log)) || a.Install.Hash != n.log[v].Hash() {
-				n.failure = fmt.Errorf("%s installed %d, which was never accepted so", d.name, v)
+				n.failure = fmt.Errorf("%s installed version %d with content that was never accepted", d.name, v)
 			}
 			if d.core.Confirmed() != spread.Unconfirmed && v < d.highest && d.core.Confirmed() == spread.ByQuorum {
-				n.failure = fmt.Errorf("%s went back from %d to %d", d.name, d.highest, v)
+				n.failure = fmt.Errorf("%s went back from version %d to %d", d.name, d.highest, v)
 			}
-			d.highest, d.at = max(d.highest, v), n.now
+			d.highest, d.installedAt = max(d.highest, v), n.now
 		case a.Rejected != nil:
 			n.trace("%s rejects: %v", d.name, a.Rejected)
 		case a.Diverged != nil:
@@ -321,8 +327,8 @@
 			d.seeks++
 		}
 	}
-	if d.core.Confirmed() == spread.ByQuorum && d.core.State().Version < d.floor {
-		n.failure = fmt.Errorf("%s is ready at %d and had %d before its restart", d.name, d.core.State().Version, d.floor)
+	if d.core.Confirmed() == spread.ByQuorum && d.core.State().Version < d.minVersion {
+		n.failure = fmt.Errorf("%s is ready at version %d but had %d before its restart", d.name, d.core.State().Version, d.minVersion)
 	}
 }
 
--- a/internal/process/spread/first_test.go
+++ b/internal/process/spread/first_test.go
@@ -10,10 +10,10 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestFirstVersionIsToldAtOnce holds that a daemon without any version hears at once when one
-// comes to a daemon that it has a link to, also while no heartbeat has told who is whose
-// parent. After the loss of all power daemons had links to sources 0.3 s before these had
-// read their logs, and went without a version until the next digest, up to 1 s later.
+// TestFirstVersionIsToldAtOnce checks that a daemon without any version is notified at once
+// when a linked daemon installs one, even before a heartbeat has established the tree. After
+// a power loss of the whole fleet, daemons had links to the sources 0.3 s before these had
+// read their logs, and stayed without a version until the next digest, up to 1 s later.
 func TestFirstVersionIsToldAtOnce(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/process/spread/fuzz_test.go
+++ b/internal/process/spread/fuzz_test.go
@@ -11,10 +11,11 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestFuzzSpread draws kills with loss of all state, cuts, freezes, delays,
-// duplicates and losses at random against the plain list of accepted versions:
-// never back, also over a restart; never a part of a version; and all converge
-// once the faults stop, which the leader's count then says too.
+// TestFuzzSpread injects random faults: kills with loss of all state, partitions, freezes,
+// and delayed, duplicated and lost messages. It checks against the list of accepted versions
+// that no daemon goes back to an older version, even over a restart, and that none installs a
+// part of a version. After the faults stop, all daemons must converge, and the leader's count
+// must show it.
 func TestFuzzSpread(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,29 +31,29 @@
 				}
 			},
 			"kill":    func(*rapid.T) { d := anyNode(); d.dead, d.frozen = true, false },
-			"restart": func(*rapid.T) { n.boot(anyNode()) },
-			"cut":     func(*rapid.T) { n.cut[anyNode().name] = rapid.IntRange(0, 2).Draw(t, "group") },
+			"restart": func(*rapid.T) { n.restart(anyNode()) },
+			"cut":     func(*rapid.T) { n.partition[anyNode().name] = rapid.IntRange(0, 2).Draw(t, "group") },
 			"split": func(t *rapid.T) {
 				for _, d := range n.order {
-					n.cut[d.name] = rapid.IntRange(0, 1).Draw(t, "group")
+					n.partition[d.name] = rapid.IntRange(0, 1).Draw(t, "group")
 				}
 			},
-			// The leader falls behind a cut, a version passes it by, and a
-			// daemon that has it restarts on the leader's side.
+			// The leader is partitioned and misses a version. A daemon that has this
+			// version then restarts in the partition of the old leader.
 			"failover": func(t *rapid.T) {
 				old, d := n.lead, anyNode()
 				if old == "" || d.name == old {
 					return
 				}
-				n.cut[old] = 3
+				n.partition[old] = 3
 				n.run(time.Duration(rapid.IntRange(6, 10).Draw(t, "tenths")) * 100 * time.Millisecond)
 				n.accept(func(m *manifest.Manifest) { randomChange(t, m) })
 				n.run(300 * time.Millisecond)
-				n.cut[d.name] = 3
-				n.boot(d)
+				n.partition[d.name] = 3
+				n.restart(d)
 				n.run(time.Second)
 			},
-			"heal":   func(*rapid.T) { clear(n.cut) },
+			"heal":   func(*rapid.T) { clear(n.partition) },
 			"freeze": func(*rapid.T) { d := anyNode(); d.frozen = !d.dead },
 			"thaw":   func(*rapid.T) { anyNode().frozen = false },
 			"disturb": func(t *rapid.T) {
@@ -84,8 +85,9 @@
 	m.Routes = append(m.Routes, manifest.Route{Name: name, Path: "/" + name, Service: service})
 }
 
-// disturb loses, delays and doubles packets by percent; delays reach into the
-// next lives of a daemon.
+// disturb returns the delays of the copies of one packet. lost and late are the percentages
+// of packets that are lost, and that are delayed or duplicated. Delays are long enough for a
+// packet to arrive after a restart of the receiver.
 func (n *network) disturb(lost, late int) []time.Duration {
 	delays := []time.Duration{0}
 	switch p := n.rand.IntN(100); {
@@ -102,10 +104,10 @@
 
 func (n *network) stopFaults() {
 	n.fault = nil
-	clear(n.cut)
+	clear(n.partition)
 	for _, d := range n.sorted() {
 		if d.dead {
-			n.boot(d)
+			n.restart(d)
 		}
 		d.frozen = false
 	}
--- a/internal/process/spread/golden_test.go
+++ b/internal/process/spread/golden_test.go
@@ -13,8 +13,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestSessions runs the sessions of testdata/sessions: a whole fleet in memory,
-// with every delta, pull and refusal shown, and the state where asked for.
+// TestSessions runs the golden files in testdata/sessions. Each drives a simulated fleet and
+// shows every delta, pull and busy message, and the state of the fleet on request.
 func TestSessions(t *testing.T) {
 	t.Parallel()
 	datadriven.Walk(t, "testdata/sessions", func(t *testing.T, path string) {
@@ -28,6 +28,7 @@
 	})
 }
 
+// session is a simulated fleet driven by the commands of a golden file.
 type session struct {
 	net *network
 	out strings.Builder
@@ -56,11 +57,11 @@
 		d.MaybeScanArgs(t, "transfers", &transfers)
 		s.net = newNetwork(1, size, 4, spread.Config{ChunkBytes: chunk, MaxTransfers: transfers})
 		if d.Input != "" {
-			s.net.wires = nil
+			s.net.sortedEdges = nil
 		}
 		for wire := range strings.FieldsSeq(d.Input) {
 			a, b, _ := strings.Cut(wire, "-")
-			s.net.wires = append(s.net.wires, edge(a, b))
+			s.net.sortedEdges = append(s.net.sortedEdges, edge(a, b))
 		}
 		s.net.trace = func(format string, args ...any) { s.printf("%6s "+format, append([]any{s.net.now}, args...)...) }
 	case "accept":
@@ -84,24 +85,24 @@
 	case "kill":
 		s.net.nodes[name].dead = true
 	case "restart":
-		s.net.boot(s.net.nodes[name])
+		s.net.restart(s.net.nodes[name])
 	case "freeze", "thaw":
 		s.net.nodes[name].frozen = d.Cmd == "freeze"
 	case "cut":
 		for node := range strings.FieldsSeq(d.Input) {
-			s.net.cut[node] = group
+			s.net.partition[node] = group
 		}
 	case "heal":
-		clear(s.net.cut)
+		clear(s.net.partition)
 	case "late":
-		// What leads to this version comes late at the node.
+		// Chunks of this version arrive late at the node.
 		var version uint64
 		d.ScanArgs(t, "version", &version)
-		by, err := time.ParseDuration(length)
+		delay, err := time.ParseDuration(length)
 		qt.Assert(t, err, qt.IsNil)
 		s.net.fault = func(p packet) []time.Duration {
 			if p.to == name && p.m.Chunk != nil && p.m.Chunk.Version == version {
-				return []time.Duration{by}
+				return []time.Duration{delay}
 			}
 			return []time.Duration{0}
 		}
--- a/internal/process/spread/measure_test.go
+++ b/internal/process/spread/measure_test.go
@@ -23,7 +23,8 @@
 
 func oneRoute(m *manifest.Manifest) { m.Routes[0].Timeout++ }
 
-// sentBytes returns the bytes of each node since the last call.
+// sentBytes returns what was sent since the last call: the mean bytes and packets per node,
+// and the bytes of the busiest source.
 func (n *network) sentBytes() (perNode float64, source int, packets float64) {
 	for _, d := range n.sorted() {
 		perNode += float64(d.sent) / float64(len(n.nodes))
@@ -36,8 +37,8 @@
 	return perNode, source, packets
 }
 
-// TestCostPerChange holds the bytes of an idle second and of a change against
-// the targets, at growing sizes: real encoded sizes, links of degree 6.
+// TestCostPerChange checks the bytes sent per idle second and per change against the targets
+// for fleets of growing size, with encoded message sizes and links of degree 6.
 func TestCostPerChange(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -65,7 +66,8 @@
 	}
 }
 
-// cost is per node and second when idle, and beyond that per node and change.
+// cost holds the traffic per node and second of an idle fleet, and the additional traffic per
+// node and change.
 type cost struct {
 	nodes                      int
 	idleBytes, idlePackets     float64
@@ -99,7 +101,7 @@
 		n.run(time.Second)
 		for _, d := range n.nodes {
 			c.Assert(d.core.State().Version, qt.Equals, uint64(len(n.log)-1))
-			f.worst = max(f.worst, d.at-begin)
+			f.worst = max(f.worst, d.installedAt-begin)
 			_, depth := d.core.Parent()
 			f.hops = max(f.hops, depth)
 		}
@@ -114,9 +116,9 @@
 	return f
 }
 
-// TestConvergenceWhileRestarting restarts one daemon in ten, all state lost,
-// while versions are accepted: those that stay up must have each within a
-// second for 99 in 100, those that come back be ready soon after.
+// TestConvergenceWhileRestarting restarts one daemon in ten, with loss of all state, while
+// versions are accepted. 99 % of the installs at daemons that stay up must take less than a
+// second, and every restarted daemon must become ready.
 func TestConvergenceWhileRestarting(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -125,7 +127,7 @@
 	n.run(3 * time.Second)
 	c.Assert(n.accept(manyRoutes), qt.IsTrue)
 	n.run(3 * time.Second)
-	var there, ready []time.Duration
+	var installTimes, readyTimes []time.Duration
 	down := map[*node]time.Duration{}
 	for wave := range waves {
 		for i := range size / 10 / waves {
@@ -145,12 +147,12 @@
 				switch {
 				case late[d] && d.core.State().Version >= version:
 					late[d] = false
-					there = append(there, d.at-accepted)
+					installTimes = append(installTimes, d.installedAt-accepted)
 				case d.dead && n.now >= down[d]:
-					n.boot(d)
+					n.restart(d)
 					down[d] = n.now
 				case !d.dead && down[d] > 0 && d.core.Confirmed() == spread.ByQuorum:
-					ready = append(ready, n.now-down[d])
+					readyTimes = append(readyTimes, n.now-down[d])
 					delete(down, d)
 				}
 			}
@@ -159,12 +161,12 @@
 			c.Check(is, qt.IsFalse, qt.Commentf("%s at %d", d.name, d.core.State().Version))
 		}
 	}
-	slices.Sort(there)
-	slices.Sort(ready)
-	p99 := there[len(there)*99/100]
+	slices.Sort(installTimes)
+	slices.Sort(readyTimes)
+	p99 := installTimes[len(installTimes)*99/100]
 	t.Logf("%d daemons, %d restarted: in force after p50 %s, p99 %s, max %s; a restarted daemon is ready after p50 %s, max %s",
-		size, len(ready), there[len(there)/2], p99, there[len(there)-1], ready[len(ready)/2], ready[len(ready)-1])
+		size, len(readyTimes), installTimes[len(installTimes)/2], p99, installTimes[len(installTimes)-1], readyTimes[len(readyTimes)/2], readyTimes[len(readyTimes)-1])
 	c.Check(p99 < time.Second, qt.IsTrue)
-	c.Check(ready, qt.HasLen, size/10)
+	c.Check(readyTimes, qt.HasLen, size/10)
 	c.Check(n.failure, qt.IsNil)
 }
--- a/internal/process/spread/report.go
+++ b/internal/process/spread/report.go
@@ -2,43 +2,45 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// maxLaggards bounds the names in a report.
+// maxLaggards is the maximum number of names in InForce.Laggards.
 const maxLaggards = 4
 
-// NodeHash is a node's share of InForce.Sum.
+// NodeHash returns the summand of a node in InForce.Sum.
 func NodeHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// InForce is the leader's newest count of the daemons that have a version. It
-// is whole if Count and Sum equal those over the names of the fleet.
+// InForce returns the leader's newest count of the daemons that have a version. The version
+// is in force on the whole fleet if Count and Sum equal those computed from the names of all
+// daemons.
 func (c *Core) InForce() InForce { return c.inForce }
 
-// takeReport makes a node a child or ends that.
-func (c *Core) takeReport(l *link, d *Digest) {
+// receiveReport handles the report in a digest. A digest with a report makes the sender a
+// child, one without a report ends this.
+func (c *Core) receiveReport(l *link, d *Digest) {
 	if d.Report == nil {
 		l.child = false
-		l.asks = childAsk{}
+		l.childAsk = childAsk{}
 		return
 	}
 	if !l.child {
 		l.child = true
-		l.digests = 0
-		l.due = true
+		l.digestCount = 0
+		l.digestDue = true
 	}
 	if l.name == c.parent {
-		// Two nodes chose each other; this one must look elsewhere.
-		c.loseParent()
+		// The two nodes chose each other as parent; this one chooses another.
+		c.replaceParent()
 	}
 	l.report = d.Report.InForce
-	c.takeAsk(l, d.Report.Ask)
-	if l.sent < c.state.Version && !c.pushDue {
+	c.receiveAsk(l, d.Report.Ask)
+	if l.sentVersion < c.state.Version && !c.pushPending {
 		c.push()
 	}
-	c.reportWhole()
+	c.reportWhenComplete()
 }
 
-// subtree counts the daemons below and including this one that have this
-// node's version. A child that reported a lower version counts for nothing:
-// the count may be low, but never high while each node has one parent.
+// subtree counts the daemons of the subtree rooted at this node that have this node's
+// version. The subtree of a child that reported a lower version is not counted. The count may
+// therefore be too low, but never too high as long as each node has only one parent.
 func (c *Core) subtree() InForce {
 	sum := InForce{Version: c.state.Version, Count: 1, Sum: NodeHash(c.cfg.Self)}
 	for _, l := range c.links {
@@ -66,10 +68,11 @@
 	}
 }
 
-// reportWhole reports at once, once for each version, when all children have
-// reported it; what changes later goes with the next digest.
-func (c *Core) reportWhole() {
-	if c.reported >= c.state.Version {
+// reportWhenComplete sends a report without waiting for the interval when all children have
+// reported the installed version, once per version. Later changes are sent with the next
+// regular digest.
+func (c *Core) reportWhenComplete() {
+	if c.reportedVersion >= c.state.Version {
 		return
 	}
 	for _, l := range c.links {
@@ -77,8 +80,8 @@
 			return
 		}
 	}
-	c.reported = c.state.Version
+	c.reportedVersion = c.state.Version
 	if p := c.link(c.parent); p != nil {
-		p.due = true
+		p.digestDue = true
 	}
 }
--- a/internal/process/spread/seek.go
+++ b/internal/process/spread/seek.go
@@ -5,29 +5,30 @@
 // maxSeekInterval bounds the mean time between two requests for other links.
 const maxSeekInterval = time.Minute
 
-// seek asks for another link while the heartbeat is missed. Each daemon asks at
-// times drawn at random, so seldom that the fleet as a whole asks once in
-// Config.SeekShare: the first that finds the leader again brings its heartbeat to
-// all the others.
+// seek requests another link while no heartbeats arrive. Each daemon does so at random times,
+// at a rate such that the whole fleet makes one request per Config.FleetSeekInterval on
+// average. This is sufficient because the first daemon that finds the leader again forwards
+// its heartbeat to all others.
 func (c *Core) seek() {
 	if !c.Stale(c.now) || c.now.Sub(c.start) <= c.cfg.StaleAfter {
-		c.seekAt = time.Time{}
+		c.nextSeek = time.Time{}
 		return
 	}
-	if c.seekAt.IsZero() {
-		c.seekAt = c.now.Add(c.seekPause())
+	if c.nextSeek.IsZero() {
+		c.nextSeek = c.now.Add(c.seekDelay())
 	}
-	if c.now.Before(c.seekAt) {
+	if c.now.Before(c.nextSeek) {
 		return
 	}
-	c.seekAt = c.now.Add(c.seekPause())
-	c.out = append(c.out, Action{Seek: true})
+	c.nextSeek = c.now.Add(c.seekDelay())
+	c.actions = append(c.actions, Action{Seek: true})
 }
 
-func (c *Core) seekPause() time.Duration {
-	mean := min(max(c.cfg.SeekInterval, time.Duration(c.fleet)*c.cfg.SeekShare), maxSeekInterval)
+// seekDelay returns a random time to the next request for another link.
+func (c *Core) seekDelay() time.Duration {
+	mean := min(max(c.cfg.SeekInterval, time.Duration(c.fleetSize)*c.cfg.FleetSeekInterval), maxSeekInterval)
 	return time.Duration(c.rand.Int64N(int64(2*mean) + 1))
 }
 
-// SetFleet tells how many daemons there are.
-func (c *Core) SetFleet(daemons int) { c.fleet = daemons }
+// SetFleet sets the number of known daemons.
+func (c *Core) SetFleet(daemons int) { c.fleetSize = daemons }
--- a/internal/process/spread/spread_test.go
+++ b/internal/process/spread/spread_test.go
@@ -11,8 +11,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestDivergedKeepsOwn: other content under the same version is told once for
-// each finding, nothing is pulled, and the own version stays.
+// TestDivergedKeepsOwn checks that different content under the same version at a linked node
+// is reported once per divergence, that nothing is pulled, and that the own state is kept.
 func TestDivergedKeepsOwn(t *testing.T) {
 	c := qt.New(t)
 	state, err := fleet.Empty().Accept(&manifest.Manifest{Mesh: "m", Version: 1})
@@ -28,8 +28,8 @@
 	c.Assert(core.Receive(now, "stranger", other), qt.HasLen, 0)
 }
 
-// TestWrongHashPullsSnapshot: a delta that does not end in its hash is not
-// applied in any part; a snapshot is asked for in its place.
+// TestWrongHashPullsSnapshot checks that a delta whose result does not match its hash is not
+// applied, not even in part, and that a snapshot is requested instead.
 func TestWrongHashPullsSnapshot(t *testing.T) {
 	c := qt.New(t)
 	state, err := fleet.Empty().Accept(&manifest.Manifest{Mesh: "m", Version: 1})
--- a/internal/process/spread/tree.go
+++ b/internal/process/spread/tree.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// unknownDepth is the depth of a node that knows no way to the leader.
+// unknownDepth is the depth of a node that knows no path to the leader.
 const unknownDepth = 1 << 16
 
-// takeLead notes whether this node leads, and beats when it is time.
-func (c *Core) takeLead(lead *Lead) {
+// updateLead records whether this node is the leader and, if so, emits a heartbeat when one
+// is due.
+func (c *Core) updateLead(lead *Lead) {
 	if lead == nil || lead.Term < c.heartbeat.Term {
 		if c.lead != nil {
 			c.lead = nil
@@ -18,43 +19,45 @@
 	c.lead = lead
 	c.depth = 0
 	if old := c.link(c.parent); old != nil {
-		old.due = true
+		old.digestDue = true
 	}
 	c.parent = ""
-	if !newTerm && c.now.Sub(c.beatAt) < c.cfg.BeatInterval {
+	if !newTerm && c.now.Sub(c.heartbeatAt) < c.cfg.HeartbeatInterval {
 		return
 	}
-	beat := Heartbeat{Term: lead.Term, Seq: 1, Version: max(lead.Version, c.state.Version)}
+	hb := Heartbeat{Term: lead.Term, Seq: 1, Version: max(lead.Version, c.state.Version)}
 	if !newTerm {
-		beat.Seq = c.heartbeat.Seq + 1
+		hb.Seq = c.heartbeat.Seq + 1
 	}
 	c.inForce = c.subtree()
-	c.adoptBeat(beat, "")
+	c.adoptHeartbeat(hb, "")
 }
 
-// adoptBeat takes a newer heartbeat and pushes it to the children. One that
-// begins a term goes to every link: the tree of the old leader may not lead
-// away from the new one.
-func (c *Core) adoptBeat(beat Heartbeat, from string) {
-	newTerm := beat.Term > c.heartbeat.Term
-	c.heartbeat = beat
-	c.beatAt = c.now
-	c.first = from
+// adoptHeartbeat stores a newer heartbeat and pushes it to the children. The first heartbeat
+// of a term is sent over every link, because the tree of the old leader does not necessarily
+// lead from the new leader to all nodes.
+func (c *Core) adoptHeartbeat(hb Heartbeat, from string) {
+	newTerm := hb.Term > c.heartbeat.Term
+	c.heartbeat = hb
+	c.heartbeatAt = c.now
+	c.heartbeatFrom = from
 	for _, l := range c.links {
 		if l.name != from && (l.child || newTerm) {
-			l.due = true
+			l.digestDue = true
 		}
 	}
 }
 
-func (c *Core) takeBeat(l *link, d *Digest) {
-	l.beat, l.depth = d.Heartbeat, d.Depth
+// receiveHeartbeat handles the heartbeat, depth and count in a digest. It chooses the sender as
+// the parent if there is none yet or if the path through the sender is shorter.
+func (c *Core) receiveHeartbeat(l *link, d *Digest) {
+	l.lastHeartbeat, l.depth = d.Heartbeat, d.Depth
 	newer := d.Heartbeat.newer(c.heartbeat)
 	if l.name == c.parent {
 		c.depth = min(d.Depth+1, unknownDepth)
 	}
 	if newer {
-		c.adoptBeat(d.Heartbeat, l.name)
+		c.adoptHeartbeat(d.Heartbeat, l.name)
 	}
 	if d.InForce != nil && c.lead == nil && l.name == c.parent {
 		c.inForce = *d.InForce
@@ -68,54 +71,54 @@
 	}
 }
 
-// setParent moves this node's tree link; the digest to the old parent, now
-// without a report, ends the push from there.
+// setParent makes l the link to the parent. The next digest to the old parent contains no
+// report, which ends the pushes from there.
 func (c *Core) setParent(l *link) {
 	if old := c.link(c.parent); old != nil {
-		old.due = true
+		old.digestDue = true
 	}
 	c.parent = l.name
 	c.depth = min(l.depth+1, unknownDepth)
 	l.child = false
-	l.due = true
+	l.digestDue = true
 }
 
-// checkParent replaces a parent that is behind on the newest heartbeat by the
-// link that brought it first: that link had it before this node did, so it
-// does not hang below this node. Without a leader there is no tree.
+// checkParent replaces a parent that lacks the newest heartbeat by the node that delivered it
+// first. That node had the heartbeat before this one, so it is not a descendant of this node.
+// If no heartbeats arrive, the parent is dropped: without a leader there is no tree.
 func (c *Core) checkParent() {
-	if c.lead != nil || c.now.Sub(c.beatAt) < c.cfg.ParentPatience {
+	if c.lead != nil || c.now.Sub(c.heartbeatAt) < c.cfg.ParentLagTimeout {
 		return
 	}
 	p := c.link(c.parent)
 	if c.Stale(c.now) {
 		if p != nil {
-			p.due = true
+			p.digestDue = true
 		}
-		c.parent, c.first, c.depth = "", "", unknownDepth
+		c.parent, c.heartbeatFrom, c.depth = "", "", unknownDepth
 		return
 	}
-	first := c.link(c.first)
+	first := c.link(c.heartbeatFrom)
 	if first == nil || first == p {
 		return
 	}
-	if p == nil || c.heartbeat.newer(p.beat) {
+	if p == nil || c.heartbeat.newer(p.lastHeartbeat) {
 		c.setParent(first)
 	}
 }
 
-// loseParent chooses among the links that are no deeper than this node, for a
-// deeper one may hang below it; if there is none, the next heartbeat that any
-// link brings decides.
-func (c *Core) loseParent() {
+// replaceParent chooses a new parent among the linked nodes that are no deeper than this node,
+// because a deeper one may be its descendant. If there is none, the sender of the next
+// heartbeat becomes the parent.
+func (c *Core) replaceParent() {
 	c.parent = ""
 	var best *link
 	for _, l := range c.links {
-		if l.child || l.depth > c.depth || l.beat.Term != c.heartbeat.Term {
+		if l.child || l.depth > c.depth || l.lastHeartbeat.Term != c.heartbeat.Term {
 			continue
 		}
-		fresh := l.beat.Seq+1 >= c.heartbeat.Seq
-		if fresh && (best == nil || l.depth < best.depth) {
+		recent := l.lastHeartbeat.Seq+1 >= c.heartbeat.Seq
+		if recent && (best == nil || l.depth < best.depth) {
 			best = l
 		}
 	}
@@ -126,5 +129,5 @@
 	c.setParent(best)
 }
 
-// age is how long ago t was; forever for the zero time.
+// age returns the time since t; for the zero time it is the maximum duration.
 func (c *Core) age(t time.Time) time.Duration { return c.now.Sub(t) }
--- a/internal/process/spread/types.go
+++ b/internal/process/spread/types.go
@@ -6,26 +6,26 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Heartbeat is the leader's sign of life. Newer is by Term, then Seq.
+// Heartbeat is the periodic heartbeat of the leader. Heartbeats are ordered by Term, then Seq.
 type Heartbeat struct {
 	Term uint64
 	Seq  uint64
-	// Version is the committed fleet version at the leader.
+	// Version is the fleet version committed at the leader.
 	Version uint64
 }
 
-// newer reports whether h follows o.
+// newer reports whether h is newer than o.
 func (h Heartbeat) newer(o Heartbeat) bool {
 	return h.Term > o.Term || (h.Term == o.Term && h.Seq > o.Seq)
 }
 
-// Lead is what a source that leads knows of its leadership.
+// Lead describes the leadership of a source that is the leader.
 type Lead struct {
 	Term uint64
 	// Version is the newest committed fleet version.
 	Version uint64
-	// Quorum is when the last round began in which a majority of the sources
-	// had this term; zero if there was none.
+	// Quorum is the start time of the last round in which a majority of the sources
+	// acknowledged this term; zero if there was none.
 	Quorum time.Time
 }
 
@@ -34,70 +34,73 @@
 	Version uint64
 	// Count is the number of daemons at Version or above.
 	Count uint32
-	// Sum is the sum of NodeHash over these daemons: with the names of the
-	// fleet at hand it tells a whole count from one with doubles.
+	// Sum is the sum of NodeHash over these daemons. Comparing it with the sum over the
+	// names of the fleet distinguishes a complete count from one that counts some daemons
+	// twice.
 	Sum uint64
 	// Laggards names a few daemons known to be below Version.
 	Laggards []string
 }
 
-// Digest tells what its sender has. It goes over every link at each interval,
-// and at once where it is needed.
+// Digest summarizes the state of its sender. It is sent over every link once per interval,
+// and earlier when needed.
 type Digest struct {
 	Version uint64
-	// Hash is 0 when it was told lately.
+	// Hash is the hash of the installed state, or 0 if it was sent recently.
 	Hash      uint64
 	Heartbeat Heartbeat
 	// Depth is the number of hops from the leader to the sender.
 	Depth uint32
-	// InForce is the leader's count; set only towards children, when it changed
-	// or was not told lately.
+	// InForce is the leader's count. It is sent only to children, if it changed or was not
+	// sent recently.
 	InForce *InForce
-	// Report is set only towards the parent, and makes the sender its child.
+	// Report is sent only to the parent and makes the sender its child.
 	Report *Report
 	// Confirmed answers the receiver's Report.Ask.
 	Confirmed *Confirmed
 }
 
-// Report is what a child tells its parent.
+// Report is sent by a child to its parent.
 type Report struct {
 	InForce InForce
-	// Ask asks for the version committed at the leader; 0 asks nothing.
+	// Ask is the number of a query for the version committed at the leader; 0 means no
+	// query.
 	Ask uint64
 }
 
-// Confirmed brings the version that was committed at the leader at some time
-// after Ask was sent.
+// Confirmed contains a version that was committed at the leader at some time after the query
+// Ask was sent.
 type Confirmed struct {
 	Ask     uint64
 	Version uint64
 }
 
-// Pull asks for everything after Version.
+// Pull requests all changes after Version.
 type Pull struct {
 	Version uint64
-	// Full asks for a snapshot, after a delta did not end in its hash.
+	// Full requests a snapshot. It is set after the result of a delta did not match its
+	// hash.
 	Full bool
-	// Target and Offset ask for the next chunk of a transfer that leads to
-	// version Target; Offset 0 begins a transfer.
+	// Target and Offset request the next chunk of a transfer to version Target; Offset 0
+	// starts a transfer.
 	Target uint64
 	Offset int
 }
 
-// Chunk is a packed delta or a piece of one.
+// Chunk is a packed delta or snapshot, or a part of one.
 type Chunk struct {
-	// Version is where the delta leads.
+	// Version is the version that results from applying the delta.
 	Version uint64
-	// Size is the length in bytes of the whole; Data begins at Offset.
+	// Size is the total length in bytes; Data starts at Offset.
 	Size   int
 	Offset int
 	Data   []byte
 }
 
-// Busy refuses a Pull: come back after a random part of After.
+// Busy rejects a Pull. The receiver retries after a random part of After.
 type Busy struct{ After time.Duration }
 
-// Message is what spreads exchange; exactly one field is set.
+// Message is a message between two cores; exactly one field is set.
 type Message struct {
 	Digest *Digest
 	Chunk  *Chunk
@@ -105,123 +108,127 @@
 	Busy   *Busy
 }
 
-// Action is what the driver must do; exactly one field is set.
+// Action is one step that the caller of Core must carry out; exactly one field is set.
 type Action struct {
 	// Send delivers a message to a linked node.
 	Send *Send
-	// Install is a new version to put in force; it is whole and compiled.
+	// Install is a complete, compiled version to put in force.
 	Install *snapshot.Snapshot
-	// Rejected tells of a message that could not be applied.
+	// Rejected is the error of a version that could not be applied, installed or packed.
 	Rejected error
-	// Diverged tells of a node with other content under the same version: a
-	// fault that must never happen. The own version is kept.
+	// Diverged reports a node with different content under the same version, which must
+	// never happen. This node keeps its own content.
 	Diverged *Diverged
-	// Seek asks for further links: the leader has not been heard of for long.
+	// Seek requests another link, because no heartbeat arrived for Config.StaleAfter.
 	Seek bool
 }
 
-// Send delivers a message.
+// Send delivers a message to the linked node with the name To.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Diverged is two contents under one version.
+// Diverged describes two different contents under the same version.
 type Diverged struct {
 	Node    string
 	Version uint64
-	// Own and Other are the hashes here and there.
+	// Own and Other are the hashes of the content at this node and at Node.
 	Own, Other uint64
 }
 
-// Confirmation tells how the version in force here was found to be no older
-// than one this daemon may have had before a restart.
+// Confirmation is how it was confirmed that the version in force is no older than any version
+// that this daemon may have had before a restart.
 type Confirmation uint8
 
-// The confirmations.
+// Values of Confirmation.
 const (
-	// Unconfirmed: not yet; the daemon takes no requests.
+	// Unconfirmed means that the version is not confirmed yet; the daemon accepts no
+	// requests.
 	Unconfirmed Confirmation = iota
-	// ByQuorum: the leader, acknowledged by a majority of the sources, was
-	// asked after the start, and its version is in force here.
+	// ByQuorum means that the leader, acknowledged by a majority of the sources, was
+	// queried after the start, and that its version is in force.
 	ByQuorum
-	// ByPeers: no leader was heard of for Config.OutageAfter; the highest
-	// version among all linked daemons is in force here.
+	// ByPeers means that no heartbeat of a leader arrived for Config.OutageAfter, and that
+	// the highest version among all linked daemons is in force.
 	ByPeers
 )
 
-// String returns the name shown in status.
+// String returns the name shown in status output.
 func (c Confirmation) String() string {
 	return [...]string{"unconfirmed", "quorum", "peers"}[c]
 }
 
-// Config is fixed for the life of a Core. Zero fields get the defaults.
+// Config is the configuration of a Core. It must not change after New. Zero fields are set to
+// their defaults.
 type Config struct {
 	// Self is the name of this node.
 	Self string
-	// Seed makes the drawn delays reproducible; it must differ between two
-	// starts of one node, or an answer to the one could be taken by the other.
+	// Seed makes the random delays reproducible. It must differ between two starts of a
+	// node; otherwise the answer to a query from before a restart could be accepted after it.
 	Seed uint64
-	// BeatInterval is the time between the leader's heartbeats.
-	BeatInterval time.Duration
+	// HeartbeatInterval is the time between the leader's heartbeats.
+	HeartbeatInterval time.Duration
 	// DigestInterval is the time between digests on a link.
 	DigestInterval time.Duration
-	// StaleAfter is how long the leader's heartbeat may be missed: two beats and the
-	// way down the tree.
+	// StaleAfter is the time without a heartbeat of the leader after which the state is
+	// stale: two heartbeat intervals plus the propagation delay of the tree.
 	StaleAfter time.Duration
-	// SeekInterval is the least mean time between two requests of this daemon for
-	// other links, SeekShare that of all daemons together: an outage of the sources
-	// may last for hours, and its end has to be noticed at once by one of them.
-	SeekInterval time.Duration
-	SeekShare    time.Duration
-	// ParentPatience is how long the parent may be behind on a heartbeat that
-	// came by another link.
-	ParentPatience time.Duration
-	// PullAfter is how long a link other than the parent may be ahead before
-	// the version is pulled over it.
+	// SeekInterval is the minimum mean time between two requests of this daemon for other
+	// links, FleetSeekInterval that of all daemons together. An outage of the sources may
+	// last for hours, and at least one daemon must notice its end immediately.
+	SeekInterval      time.Duration
+	FleetSeekInterval time.Duration
+	// ParentLagTimeout is how long the parent may lack a heartbeat that another link has
+	// delivered.
+	ParentLagTimeout time.Duration
+	// PullAfter is how long a linked node other than the parent must be ahead before its
+	// version is pulled.
 	PullAfter time.Duration
-	// PullTimeout bounds the wait for each answer to a pull.
+	// PullTimeout bounds the wait for each response to a pull.
 	PullTimeout time.Duration
-	// MergeWindow is the least time between two pushes; what is installed
-	// meanwhile goes as one delta.
+	// MergeWindow is the minimum time between two pushes. Versions installed in between
+	// are pushed as one delta.
 	MergeWindow time.Duration
-	// OutageAfter is how long after its start a daemon waits for a leader
-	// before it goes by its peers.
+	// OutageAfter is how long after its start a daemon waits for a leader before it falls
+	// back to the versions of its peers.
 	OutageAfter time.Duration
-	// BusyAfter is the bound of the delay that a refused pull is told.
+	// BusyAfter is the upper bound of the retry delay sent in Busy.
 	BusyAfter time.Duration
-	// History and HistoryBytes bound the deltas kept for those behind.
+	// History and HistoryBytes bound the number and the bytes of the deltas kept for nodes
+	// that are behind.
 	History      int
 	HistoryBytes int
-	// ChunkBytes bounds the delta bytes in one message.
+	// ChunkBytes bounds the packed bytes in one message.
 	ChunkBytes int
-	// StateBytes bounds a decoded delta or snapshot.
+	// StateBytes bounds the size of a decoded delta or snapshot.
 	StateBytes int
-	// MaxTransfers bounds the chunked transfers served at a time.
+	// MaxTransfers bounds the number of chunked transfers served at the same time.
 	MaxTransfers int
 }
 
-// The defaults of Config.
+// Defaults of Config.
 const (
-	DefaultBeatInterval   = time.Second
-	DefaultDigestInterval = time.Second
-	DefaultStaleAfter     = 2500 * time.Millisecond
-	DefaultSeekInterval   = 500 * time.Millisecond
-	DefaultSeekShare      = 100 * time.Millisecond
-	DefaultParentPatience = 300 * time.Millisecond
-	DefaultPullAfter      = 200 * time.Millisecond
-	DefaultPullTimeout    = time.Second
-	DefaultMergeWindow    = 50 * time.Millisecond
-	DefaultOutageAfter    = 10 * time.Second
-	DefaultBusyAfter      = time.Second
-	DefaultHistory        = 1024
-	DefaultHistoryBytes   = 2 << 20
-	DefaultChunkBytes     = 64 << 10
-	DefaultStateBytes     = 64 << 20
-	DefaultMaxTransfers   = 4
+	DefaultHeartbeatInterval = time.Second
+	DefaultDigestInterval    = time.Second
+	DefaultStaleAfter        = 2500 * time.Millisecond
+	DefaultSeekInterval      = 500 * time.Millisecond
+	DefaultFleetSeekInterval = 100 * time.Millisecond
+	DefaultParentLagTimeout  = 300 * time.Millisecond
+	DefaultPullAfter         = 200 * time.Millisecond
+	DefaultPullTimeout       = time.Second
+	DefaultMergeWindow       = 50 * time.Millisecond
+	DefaultOutageAfter       = 10 * time.Second
+	DefaultBusyAfter         = time.Second
+	DefaultHistory           = 1024
+	DefaultHistoryBytes      = 2 << 20
+	DefaultChunkBytes        = 64 << 10
+	DefaultStateBytes        = 64 << 20
+	DefaultMaxTransfers      = 4
 )
 
-func orDefault[T comparable](v *T, def T) {
+// setDefault sets *v to def if it is zero.
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
 		*v = def
@@ -229,21 +236,21 @@
 }
 
 func (c Config) withDefaults() Config {
-	orDefault(&c.BeatInterval, DefaultBeatInterval)
-	orDefault(&c.DigestInterval, DefaultDigestInterval)
-	orDefault(&c.StaleAfter, DefaultStaleAfter)
-	orDefault(&c.SeekInterval, DefaultSeekInterval)
-	orDefault(&c.SeekShare, DefaultSeekShare)
-	orDefault(&c.ParentPatience, DefaultParentPatience)
-	orDefault(&c.PullAfter, DefaultPullAfter)
-	orDefault(&c.PullTimeout, DefaultPullTimeout)
-	orDefault(&c.MergeWindow, DefaultMergeWindow)
-	orDefault(&c.OutageAfter, DefaultOutageAfter)
-	orDefault(&c.BusyAfter, DefaultBusyAfter)
-	orDefault(&c.History, DefaultHistory)
-	orDefault(&c.HistoryBytes, DefaultHistoryBytes)
-	orDefault(&c.ChunkBytes, DefaultChunkBytes)
-	orDefault(&c.StateBytes, DefaultStateBytes)
-	orDefault(&c.MaxTransfers, DefaultMaxTransfers)
+	setDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	setDefault(&c.DigestInterval, DefaultDigestInterval)
+	setDefault(&c.StaleAfter, DefaultStaleAfter)
+	setDefault(&c.SeekInterval, DefaultSeekInterval)
+	setDefault(&c.FleetSeekInterval, DefaultFleetSeekInterval)
+	setDefault(&c.ParentLagTimeout, DefaultParentLagTimeout)
+	setDefault(&c.PullAfter, DefaultPullAfter)
+	setDefault(&c.PullTimeout, DefaultPullTimeout)
+	setDefault(&c.MergeWindow, DefaultMergeWindow)
+	setDefault(&c.OutageAfter, DefaultOutageAfter)
+	setDefault(&c.BusyAfter, DefaultBusyAfter)
+	setDefault(&c.History, DefaultHistory)
+	setDefault(&c.HistoryBytes, DefaultHistoryBytes)
+	setDefault(&c.ChunkBytes, DefaultChunkBytes)
+	setDefault(&c.StateBytes, DefaultStateBytes)
+	setDefault(&c.MaxTransfers, DefaultMaxTransfers)
 	return c
 }
