--- a/internal/process/membership/membership.go
+++ b/internal/process/membership/membership.go
@@ -49,8 +49,8 @@
 	view     *view.Core
 	presence *presence.Core
 	// links holds the live links by node name.
-	links          map[string]view.Node
-	nextCandidates time.Time
+	links              map[string]view.Node
+	nextCandidateCheck time.Time
 }
 
 // New returns a Core that knows only itself.
@@ -130,8 +130,8 @@
 
 // Tick performs the work that is due at now. It must be called regularly.
 func (c *Core) Tick(now time.Time) []Action {
-	if !now.Before(c.nextCandidates) {
-		c.nextCandidates = now.Add(candidateInterval)
+	if !now.Before(c.nextCandidateCheck) {
+		c.nextCandidateCheck = now.Add(candidateInterval)
 		c.addCandidates()
 	}
 	actions := c.convertPresence(c.presence.Tick(now))
--- a/internal/process/spread/driver_test.go
+++ b/internal/process/spread/driver_test.go
@@ -256,16 +256,16 @@
 func (n *network) updateLinks() {
 	for _, e := range n.sortedEdges {
 		a, b := n.nodes[e[0]], n.nodes[e[1]]
-		whole := n.reachable(a, b)
-		if whole {
+		up := n.reachable(a, b)
+		if up {
 			n.edges[e] = n.now
 		}
-		lost := !whole && n.now-n.edges[e] > linkTimeout
+		lost := !up && n.now-n.edges[e] > linkTimeout
 		for _, p := range [][2]*node{{a, b}, {b, a}} {
 			self, other := p[0], p[1]
 			switch {
-			case self.dead || self.frozen || (!whole && !lost) || self.links[other.name] == whole:
-			case whole:
+			case self.dead || self.frozen || (!up && !lost) || self.links[other.name] == up:
+			case up:
 				self.links[other.name] = true
 				n.execute(self, self.core.LinkUp(other.name))
 			default:
