--- a/internal/version/manifest/bounds_test.go
+++ b/internal/version/manifest/bounds_test.go
@@ -7,12 +7,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestShapeIsBoundedBeforeItCosts reads texts that took the parser minutes, or
-// its whole stack, before their shape was bounded. No clock is read: without
-// the bounds the package's test timeout passes.
+// TestShapeIsBoundedBeforeItCosts parses inputs that took the YAML parser minutes
+// or overflowed its stack before nesting depth, number of keys and size were
+// limited. It measures no time: without the limits it exceeds the test timeout of
+// the package.
 func TestShapeIsBoundedBeforeItCosts(t *testing.T) {
 	c := qt.New(t)
-	for name, text := range map[string]struct{ text, want string }{
+	for name, test := range map[string]struct{ text, want string }{
 		"depth":     {strings.Repeat("[", 1<<16), "is nested too deep"},
 		"list":      {strings.Repeat("- ", 1<<15), "is nested too deep"},
 		"keys":      {strings.Repeat("a: b\n", 100_000), "more than 256 keys"},
@@ -23,7 +24,7 @@
 		"size":      {strings.Repeat("#", MaxBytes+1), "want at most 4194304"},
 		"faults":    {"mesh: [" + strings.Repeat("\n", 10) + "]\nroutes:\n" + strings.Repeat("- {}\n", 5000), "more faults are not listed"},
 	} {
-		_, err := Parse([]byte(text.text))
-		c.Assert(err, qt.ErrorMatches, "(?s).*"+text.want+".*", qt.Commentf("%s", name))
+		_, err := Parse([]byte(test.text))
+		c.Assert(err, qt.ErrorMatches, "(?s).*"+test.want+".*", qt.Commentf("%s", name))
 	}
 }
--- a/internal/version/manifest/check.go
+++ b/internal/version/manifest/check.go
@@ -12,7 +12,7 @@
 	"github.com/daisygate/daisygate/internal/strictyaml"
 )
 
-// The bounds of a manifest.
+// The limits of a manifest.
 const (
 	MaxHosts       = 256
 	MaxServices    = 2000
@@ -31,13 +31,13 @@
 	maxLimitBytes  = 1 << 40
 )
 
-// methods are the methods that a route may name.
-var methods = []string{
+// knownMethods are the HTTP methods that a route may list.
+var knownMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// check reports everything that is wrong with m beyond its form.
+// check validates the decoded values of m and adds all faults to d.
 func (m *Manifest) check(d *strictyaml.Document) {
 	d.Name("mesh", m.Mesh)
 	if m.Version == 0 {
@@ -80,7 +80,7 @@
 	case host != strings.ToLower(host):
 		d.Add(key, "want lower case; did you mean %q?", strings.ToLower(host))
 	case strings.HasSuffix(host, "."):
-		d.Add(key, "want no dot at the end; did you mean %q?", strings.TrimRight(host, "."))
+		d.Add(key, "want no trailing dot; did you mean %q?", strings.TrimRight(host, "."))
 	case isIP(host):
 	case strings.ContainsAny(host, "/*:[] "):
 		d.Add(key, "want a plain host name without scheme, port or wildcard, got %q", host)
@@ -97,9 +97,9 @@
 	d.Count(key+".allow", len(s.Allow), MaxPrefixes)
 	var prefixes strictyaml.Unique
 	for i, prefix := range s.Allow {
-		at := fmt.Sprintf("%s.allow[%d]", key, i)
-		prefixes.Check(d, at, prefix)
-		d.Prefix(at, prefix)
+		itemKey := fmt.Sprintf("%s.allow[%d]", key, i)
+		prefixes.Check(d, itemKey, prefix)
+		d.Prefix(itemKey, prefix)
 	}
 	strictyaml.Range(d, key+".slots", s.Slots, 0, MaxSlots)
 	strictyaml.Range(d, key+".connections", s.Connections, 0, MaxConnections)
@@ -119,18 +119,18 @@
 		services[i] = s.Name
 	}
 	var names strictyaml.Unique
-	overlap := overlaps{}
+	overlaps := overlapChecker{}
 	for i := range m.Routes {
 		key := fmt.Sprintf("routes[%d]", i)
 		route := &m.Routes[i]
 		names.Check(d, key+".name", route.Name)
 		route.check(d, key)
 		route.checkServices(d, key, services)
-		overlap.check(d, key, route, m.HostsOf(route))
+		overlaps.check(d, key, route, m.HostsOf(route))
 	}
 }
 
-// HostsOf returns the host names of a route; "" stands for every host.
+// HostsOf returns the host names that a route serves; "" means every host.
 func (m *Manifest) HostsOf(r *Route) []string {
 	switch {
 	case len(r.Hosts) > 0:
@@ -141,7 +141,8 @@
 	return []string{""}
 }
 
-// checkServices wants a service or a split, not both.
+// checkServices checks that the route has either a service or a split, and that
+// the services exist.
 func (r *Route) checkServices(d *strictyaml.Document, key string, services []string) {
 	if len(r.Split) == 0 {
 		d.Reference(key+".service", r.Service, "service", services)
@@ -153,9 +154,9 @@
 	d.Count(key+".split", len(r.Split), MaxShares)
 	sum := 0
 	for i, share := range r.Split {
-		at := fmt.Sprintf("%s.split[%d]", key, i)
-		d.Reference(at+".service", share.Service, "service", services)
-		strictyaml.Range(d, at+".weight", share.Weight, 0, MaxWeight)
+		itemKey := fmt.Sprintf("%s.split[%d]", key, i)
+		d.Reference(itemKey+".service", share.Service, "service", services)
+		strictyaml.Range(d, itemKey+".weight", share.Weight, 0, MaxWeight)
 		sum += share.Weight
 	}
 	if sum == 0 {
@@ -168,16 +169,16 @@
 	checkPath(d, key+".path", r.Path)
 	var seen strictyaml.Unique
 	for i, method := range r.Methods {
-		at := fmt.Sprintf("%s.methods[%d]", key, i)
-		seen.Check(d, at, method)
-		d.OneOf(at, method, methods...)
+		itemKey := fmt.Sprintf("%s.methods[%d]", key, i)
+		seen.Check(d, itemKey, method)
+		d.OneOf(itemKey, method, knownMethods...)
 	}
 	d.Count(key+".hosts", len(r.Hosts), MaxRouteHosts)
 	var hosts strictyaml.Unique
 	for i, host := range r.Hosts {
-		at := fmt.Sprintf("%s.hosts[%d]", key, i)
-		hosts.Check(d, at, host)
-		checkHost(d, at, host)
+		itemKey := fmt.Sprintf("%s.hosts[%d]", key, i)
+		hosts.Check(d, itemKey, host)
+		checkHost(d, itemKey, host)
 	}
 	d.Duration(key+".timeout", r.Timeout, time.Millisecond, MaxTimeout)
 	d.Duration(key+".target", r.Target, 0, MaxTimeout)
@@ -205,66 +206,67 @@
 	case !strings.HasPrefix(value, "/"):
 		d.Add(key, "must begin with /, got %q", value)
 	case strings.Contains(value, "%"):
-		d.Add(key, "want the path without escapes, got %q", value)
+		d.Add(key, "want the path without percent-encoding, got %q", value)
 	case strings.ContainsAny(value, "?#*\\ "):
-		d.Add(key, "want a plain path prefix without query, fragment, wildcard, backslash or blank, got %q", value)
+		d.Add(key, "want a plain path prefix without query, fragment, wildcard, backslash or space, got %q", value)
 	case clean != value:
 		d.Add(key, "want a clean path; did you mean %q?", clean)
 	}
 }
 
-// anyMethod stands for a route without methods.
+// anyMethod represents a route that matches every method.
 const anyMethod = "any"
 
-// overlaps finds routes that take the same requests: same host and path, and a
-// method in common. It maps a place to the route keys that take its methods.
-type overlaps map[place]taken
+// overlapChecker finds routes that match the same requests: same host and path,
+// and at least one method in common.
+type overlapChecker map[hostPath]methodOwners
 
-// place is where a route listens.
-type place struct{ host, path string }
+type hostPath struct{ host, path string }
 
-func (o overlaps) check(d *strictyaml.Document, key string, r *Route, hosts []string) {
+func (o overlapChecker) check(d *strictyaml.Document, key string, r *Route, hosts []string) {
 	if r.Path == "" {
 		return
 	}
 	for _, host := range slices.Compact(slices.Sorted(slices.Values(hosts))) {
-		at := place{host: host, path: r.Path}
+		at := hostPath{host: host, path: r.Path}
 		if o[at] == nil {
-			o[at] = taken{}
+			o[at] = methodOwners{}
 		}
 		o[at].check(d, key, r)
 	}
 }
 
-// taken maps a method to the route key that takes it at one place.
-type taken map[string]string
+// methodOwners maps each method of one hostPath to the key of the route that
+// matches it.
+type methodOwners map[string]string
 
-func (t taken) check(d *strictyaml.Document, key string, r *Route) {
+func (owners methodOwners) check(d *strictyaml.Document, key string, r *Route) {
 	wanted := r.Methods
 	if len(wanted) == 0 {
 		wanted = []string{anyMethod}
 	}
-	if method, other, shared := sharedMethod(t, wanted); shared {
+	if method, other, shared := sharedMethod(owners, wanted); shared {
 		d.Add(key+".path", "%q with method %s is already taken by %s%s", r.Path, method, other, d.InLine(other))
 	}
 	for _, method := range wanted {
-		t[method] = key
+		owners[method] = key
 	}
 }
 
-// sharedMethod returns a wanted method that is taken, and by which route. Any
-// method meets every method: the order of routes must not decide.
-func sharedMethod(taken map[string]string, wanted []string) (method, other string, shared bool) {
+// sharedMethod returns a wanted method that another route already matches, and
+// the key of that route. anyMethod conflicts with every method, so that which
+// route matches never depends on the order of the routes.
+func sharedMethod(owners map[string]string, wanted []string) (method, other string, shared bool) {
 	for _, method := range append([]string{anyMethod}, wanted...) {
-		if other, shared := taken[method]; shared {
+		if other, shared := owners[method]; shared {
 			return method, other, true
 		}
 	}
 	if wanted[0] != anyMethod {
 		return "", "", false
 	}
-	for _, method := range methods {
-		if other, shared := taken[method]; shared {
+	for _, method := range knownMethods {
+		if other, shared := owners[method]; shared {
 			return method, other, true
 		}
 	}
--- a/internal/version/manifest/parse.go
+++ b/internal/version/manifest/parse.go
@@ -2,17 +2,17 @@
 
 import "github.com/daisygate/daisygate/internal/strictyaml"
 
-// MaxBytes is the most bytes of a manifest, whatever a listener's limit.
+// MaxBytes is the maximum size of a manifest, regardless of a listener's limit.
 const MaxBytes = 4 << 20
 
-// Fault is one thing wrong with a manifest, with its place.
+// Fault is one error in a manifest, with its position.
 type Fault = strictyaml.Fault
 
-// Faults is every fault of one manifest.
+// Faults lists all errors in one manifest.
 type Faults = strictyaml.Faults
 
-// Parse reads and checks a manifest. The error, if any, is a Faults that lists
-// everything wrong with it.
+// Parse decodes and validates a manifest. The error, if any, is a Faults that
+// lists all errors in the manifest.
 func Parse(raw []byte) (*Manifest, error) {
 	var m Manifest
 	doc := strictyaml.Decode(raw, MaxBytes, &m)
@@ -25,8 +25,8 @@
 	return &m, nil
 }
 
-// Validate lists every fault of a manifest that was built in memory, or returns
-// nil.
+// Validate checks a manifest that was built in memory. The error, if any, is a
+// Faults that lists all errors in the manifest.
 func (m *Manifest) Validate() error {
 	doc := strictyaml.NewDocument()
 	m.check(doc)
--- a/internal/version/manifest/parse_test.go
+++ b/internal/version/manifest/parse_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestFaults holds the faults of wrong manifests, word for word with their
-// places.
+// TestFaults compares the errors of invalid manifests with the expected messages
+// and positions.
 func TestFaults(t *testing.T) {
 	datadriven.Walk(t, "testdata/faults", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -32,15 +32,14 @@
 	c.Assert(m.Routes[0].Priority, qt.Equals, DefaultPriority)
 }
 
-// TestByteOrderMark holds that the mark some editors begin a file with is passed
-// over.
+// TestByteOrderMark checks that a byte order mark at the start of a file, which
+// some editors write, is ignored.
 func TestByteOrderMark(t *testing.T) {
 	_, err := Parse([]byte("\xef\xbb\xbfmesh: a\nversion: 1\nservices: [{name: s}]\nroutes: [{name: r, path: /, service: s}]"))
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// FuzzParse holds that no text makes Parse panic, and that an error is always a
-// list of faults.
+// FuzzParse checks that Parse never panics and that its errors are always Faults.
 func FuzzParse(f *testing.F) {
 	paths, err := filepath.Glob("../../../examples/*.yaml")
 	if err != nil || len(paths) == 0 {
@@ -64,7 +63,7 @@
 		_, err := Parse(raw)
 		var faults Faults
 		if err != nil && !errors.As(err, &faults) {
-			t.Fatalf("%T is no Faults", err)
+			t.Fatalf("error has type %T, want Faults", err)
 		}
 	})
 }
