--- a/internal/version/fleet/fleet.go
+++ b/internal/version/fleet/fleet.go
@@ -1,9 +1,11 @@
-// Package fleet holds the whole accepted intent of the fleet at one version:
-// a sorted set of resources, each canonical bytes, with a hash over all of
-// them. Deltas between two versions and snapshots of one are encoded here.
+// Package fleet holds the accepted configuration of the whole fleet at one
+// version: a sorted set of resources in canonical encoding, with a hash over all
+// of them. It also encodes the deltas between two versions and the snapshot of
+// one.
 //
-// A State is immutable: Accept, Take and Apply return a new one, which shares with the
-// old what did not change, so that a change costs in proportion to itself.
+// A State is immutable: Accept, Take and Apply return a new State that shares
+// unchanged data with the old one, so that the cost of a change is proportional to
+// its size.
 package fleet
 
 import (
@@ -19,7 +21,7 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// Kind tells what a resource describes.
+// Kind is the type of a resource.
 type Kind string
 
 // The kinds of resources.
@@ -29,14 +31,14 @@
 	KindService Kind = "service"
 )
 
-// Key names one resource.
+// Key identifies one resource.
 type Key struct {
 	Mesh string `cbor:"1,keyasint"`
 	Kind Kind   `cbor:"2,keyasint"`
 	Name string `cbor:"3,keyasint,omitempty"`
 }
 
-// Compare orders keys.
+// Compare orders keys by mesh, kind and name.
 func (k Key) Compare(o Key) int {
 	if c := strings.Compare(k.Mesh, o.Mesh); c != 0 {
 		return c
@@ -47,40 +49,39 @@
 	return strings.Compare(k.Name, o.Name)
 }
 
-// MeshHeader is the resource of KindMesh: what a mesh has besides its services
-// and routes.
+// MeshHeader is the resource of KindMesh: the configuration of a mesh except its
+// services and routes.
 type MeshHeader struct {
-	// Version is the operators' number.
+	// Version is the version number that the operators set in the manifest.
 	Version uint64 `cbor:"1,keyasint"`
 	// Content is the hash of the manifest's canonical encoding.
 	Content uint64 `cbor:"2,keyasint"`
 	// Hosts are the host names of the mesh.
 	Hosts []string `cbor:"3,keyasint,omitempty"`
-	// Fleet is the fleet version that brought this manifest.
+	// Fleet is the fleet version in which this manifest was accepted.
 	Fleet uint64 `cbor:"4,keyasint"`
-	// Limits bound what callers may send.
+	// Limits restrict what callers may send.
 	Limits manifest.Limits `cbor:"5,keyasint,omitempty"`
 }
 
-// resources are the values by key, in order. The map is persistent: Set and Delete
-// return another one that shares most of its nodes.
+// resources maps keys to encoded values, sorted by key. The map is persistent: Set
+// and Delete return a new map that shares most of its nodes with the old one.
 type resources = immutable.SortedMap[Key, []byte]
 
-// keyOrder orders the keys of resources.
-type keyOrder struct{}
+type keyComparer struct{}
 
 // Compare implements immutable.Comparer.
-func (keyOrder) Compare(a, b Key) int { return a.Compare(b) }
+func (keyComparer) Compare(a, b Key) int { return a.Compare(b) }
 
-// State is the accepted intent at one fleet version.
+// State is the accepted configuration at one fleet version.
 type State struct {
-	// Version is the fleet version: 0 is the empty state, each accepted manifest and each
-	// step of a roll-out adds 1.
+	// Version is the fleet version: 0 for the empty state; each accepted manifest and
+	// each step of a rollout adds 1.
 	Version   uint64
 	resources *resources
 	hash      uint64
-	// sums are the parts of hash that are of each mesh's services and routes.
-	sums map[string]uint64
+	// meshHashes maps each mesh to the sum of the hashes of its services and routes.
+	meshHashes map[string]uint64
 }
 
 var encMode = func() cbor.EncMode {
@@ -92,25 +93,27 @@
 }()
 
 // Empty returns the state before the first accepted manifest.
-func Empty() *State { return &State{resources: immutable.NewSortedMap[Key, []byte](keyOrder{})} }
+func Empty() *State { return &State{resources: immutable.NewSortedMap[Key, []byte](keyComparer{})} }
 
 // Hash identifies the content; equal states have equal hashes. It is the sum
-// of the resources' hashes, so a delta updates it in proportion to its size.
+// of the resources' hashes, so the cost of updating it is proportional to the size
+// of a delta.
 func (s *State) Hash() uint64 { return s.hash }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (s *State) Len() int { return s.resources.Len() }
 
-// Each calls visit for the resources of one mesh, in the order of their keys.
-func (s *State) Each(mesh string, visit func(k Key, raw []byte)) { s.from(Key{Mesh: mesh}, visit) }
+// Each calls visit for each resource of one mesh, in key order.
+func (s *State) Each(mesh string, visit func(k Key, raw []byte)) { s.visitFrom(Key{Mesh: mesh}, visit) }
 
-// EachOf is Each for the resources of one kind.
+// EachOf calls visit for each resource of one kind in one mesh, in key order.
 func (s *State) EachOf(mesh string, kind Kind, visit func(k Key, raw []byte)) {
-	s.from(Key{Mesh: mesh, Kind: kind}, visit)
+	s.visitFrom(Key{Mesh: mesh, Kind: kind}, visit)
 }
 
-// from visits the keys of the mesh of k, and of its kind where that is given.
-func (s *State) from(first Key, visit func(k Key, raw []byte)) {
+// visitFrom visits the resources with the mesh of first and, if it is set, the kind
+// of first.
+func (s *State) visitFrom(first Key, visit func(k Key, raw []byte)) {
 	it := s.resources.Iterator()
 	it.Seek(first)
 	for !it.Done() {
@@ -122,7 +125,7 @@
 	}
 }
 
-// Mesh returns the header of a mesh and whether it is known.
+// Mesh returns the header of a mesh and whether it exists and can be decoded.
 func (s *State) Mesh(name string) (MeshHeader, bool) {
 	var h MeshHeader
 	raw, ok := s.resources.Get(Key{Mesh: name, Kind: KindMesh})
@@ -132,7 +135,7 @@
 	return h, cbor.Unmarshal(raw, &h) == nil
 }
 
-// Meshes returns the names of all meshes in order.
+// Meshes returns the names of all meshes, sorted.
 func (s *State) Meshes() []string {
 	var names []string
 	it := s.resources.Iterator()
@@ -141,13 +144,13 @@
 		if k.Kind == KindMesh {
 			names = append(names, k.Mesh)
 		}
-		// The keys of the next mesh begin after the last possible one of this.
+		// Skip to the keys of the next mesh.
 		it.Seek(Key{Mesh: k.Mesh + "\x00"})
 	}
 	return names
 }
 
-// Manifest rebuilds the manifest of one mesh.
+// Manifest rebuilds the manifest of one mesh from its resources.
 func (s *State) Manifest(mesh string) (*manifest.Manifest, error) {
 	header, ok := s.Mesh(mesh)
 	if !ok {
@@ -180,13 +183,14 @@
 	return nil
 }
 
-// DecodeService reads a resource of KindService.
+// DecodeService decodes a resource of KindService.
 func DecodeService(raw []byte) (v manifest.Service, err error) { return v, cbor.Unmarshal(raw, &v) }
 
-// DecodeRoute reads a resource of KindRoute.
+// DecodeRoute decodes a resource of KindRoute.
 func DecodeRoute(raw []byte) (v manifest.Route, err error) { return v, cbor.Unmarshal(raw, &v) }
 
-// Route returns a route of a mesh, or nil where there is none or it can't be read.
+// Route returns a route of a mesh, or nil if it does not exist or cannot be
+// decoded.
 func (s *State) Route(mesh, name string) *manifest.Route {
 	raw, ok := s.resources.Get(Key{Mesh: mesh, Kind: KindRoute, Name: name})
 	if !ok {
@@ -199,7 +203,7 @@
 	return &v
 }
 
-// Accept returns the state after m became the intent of its mesh.
+// Accept returns the state in which m is the manifest of its mesh.
 func (s *State) Accept(m *manifest.Manifest) (*State, error) {
 	r, err := s.Revise(m)
 	if err != nil {
@@ -208,71 +212,72 @@
 	return s.Take(r)
 }
 
-// draft is a state that is being built and not handed out yet.
-type draft struct {
+// stateBuilder builds a new State.
+type stateBuilder struct {
 	State
-	// builder holds the resources instead where the draft began empty: it fills a map in
-	// place, and makes no version of it for each resource.
-	builder *immutable.SortedMapBuilder[Key, []byte]
+	// mapBuilder replaces resources while a state is built from empty. It fills a map
+	// in place instead of creating a new version of it for each resource.
+	mapBuilder *immutable.SortedMapBuilder[Key, []byte]
 }
 
-// derive begins another version of s.
-func (s *State) derive(version uint64) *draft {
-	d := &draft{State: State{Version: version, resources: s.resources, hash: s.hash, sums: maps.Clone(s.sums)}}
+// builder returns a builder for a new version that starts with the content of s.
+func (s *State) builder(version uint64) *stateBuilder {
+	b := &stateBuilder{State: State{Version: version, resources: s.resources, hash: s.hash, meshHashes: maps.Clone(s.meshHashes)}}
 	if s.Len() == 0 {
-		d.builder = immutable.NewSortedMapBuilder[Key, []byte](keyOrder{})
+		b.mapBuilder = immutable.NewSortedMapBuilder[Key, []byte](keyComparer{})
 	}
-	if d.sums == nil {
-		d.sums = map[string]uint64{}
+	if b.meshHashes == nil {
+		b.meshHashes = map[string]uint64{}
 	}
-	return d
+	return b
 }
 
-// finish returns the state; the draft must not be changed any more.
-func (d *draft) finish() *State {
-	if d.builder != nil {
-		d.resources = d.builder.Map()
+// build returns the state. The builder must not be used afterwards.
+func (b *stateBuilder) build() *State {
+	if b.mapBuilder != nil {
+		b.resources = b.mapBuilder.Map()
 	}
-	return &d.State
+	return &b.State
 }
 
-// set puts a value under a key, or removes the key where the value is empty.
-func (d *draft) set(k Key, raw []byte) {
-	old, known := d.get(k)
-	if known {
-		d.count(k, -resourceHash(k, old))
+// set sets the value of a key, or deletes the key if the value is empty.
+func (b *stateBuilder) set(k Key, raw []byte) {
+	old, exists := b.get(k)
+	if exists {
+		b.addHash(k, -resourceHash(k, old))
 	}
 	if len(raw) > 0 {
-		d.count(k, resourceHash(k, raw))
+		b.addHash(k, resourceHash(k, raw))
 	}
 	switch {
-	case len(raw) > 0 && d.builder != nil:
-		d.builder.Set(k, raw)
+	case len(raw) > 0 && b.mapBuilder != nil:
+		b.mapBuilder.Set(k, raw)
 	case len(raw) > 0:
-		d.resources = d.resources.Set(k, raw)
-	case known && d.builder != nil:
-		d.builder.Delete(k)
-	case known:
-		d.resources = d.resources.Delete(k)
+		b.resources = b.resources.Set(k, raw)
+	case exists && b.mapBuilder != nil:
+		b.mapBuilder.Delete(k)
+	case exists:
+		b.resources = b.resources.Delete(k)
 	}
 }
 
-func (d *draft) get(k Key) ([]byte, bool) {
-	if d.builder != nil {
-		return d.builder.Get(k)
+func (b *stateBuilder) get(k Key) ([]byte, bool) {
+	if b.mapBuilder != nil {
+		return b.mapBuilder.Get(k)
 	}
-	return d.resources.Get(k)
+	return b.resources.Get(k)
 }
 
-// count adds to the sums of hashes.
-func (d *draft) count(k Key, hash uint64) {
-	d.hash += hash
-	if k.Kind.ofManifest() {
-		d.sums[k.Mesh] += hash
+// addHash adds the hash of a resource to the hash of the state and, for services and
+// routes, to that of the mesh.
+func (b *stateBuilder) addHash(k Key, hash uint64) {
+	b.hash += hash
+	if k.Kind.isServiceOrRoute() {
+		b.meshHashes[k.Mesh] += hash
 	}
 }
 
-// ContentHash hashes a manifest's canonical encoding.
+// ContentHash returns the hash of a manifest's canonical encoding.
 func ContentHash(m *manifest.Manifest) (uint64, error) {
 	raw, err := encMode.Marshal(m)
 	if err != nil {
--- a/internal/version/fleet/fleet_test.go
+++ b/internal/version/fleet/fleet_test.go
@@ -12,8 +12,9 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestHistoryMerges holds merged deltas against the chain of states they stand
-// for, at their start and at each version in between, packed and unpacked.
+// TestHistoryMerges applies merged deltas, after packing and unpacking them, to their
+// start version and to each version in between, and compares the results with the
+// newest state.
 func TestHistoryMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := History{Count: rapid.IntRange(1, 20).Draw(t, "count"), Bytes: rapid.IntRange(100, 10000).Draw(t, "bytes")}
@@ -34,27 +35,28 @@
 			chain = append(chain, next)
 		}
 		last := chain[len(chain)-1]
-		reach := false
+		inRange := false
 		for from, state := range chain[:len(chain)-1] {
-			delta, held := h.Since(uint64(from))
-			if reach = reach || held; held != reach {
-				t.Fatalf("a gap at %d", from)
+			delta, found := h.Since(uint64(from))
+			if inRange = inRange || found; found != inRange {
+				t.Fatalf("history has a gap at version %d", from)
 			}
 			for _, s := range chain[from:] {
-				if !held {
+				if !found {
 					break
 				}
 				if got, err := s.Apply(repack(t, delta)); err != nil || got.Hash() != last.Hash() || got.Version != last.Version {
-					t.Fatalf("from %d at %d: %v", from, s.Version, err)
+					t.Fatalf("delta from %d applied at version %d: %v", from, s.Version, err)
 				}
 			}
 			if _, err := last.Apply(Diff(Empty(), state)); err == nil {
-				t.Fatalf("back from %d to %d", last.Version, state.Version)
+				t.Fatalf("version %d accepted a delta back to %d", last.Version, state.Version)
 			}
 		}
 	})
 }
 
+// repack returns d after it was encoded, packed, unpacked and decoded.
 func repack(t *rapid.T, d *Delta) *Delta {
 	raw, err := d.Encode()
 	if err != nil {
@@ -83,8 +85,9 @@
 	}
 }
 
-// large is a state of the planned size, 400 services and 2,000 routes.
-func large(c *qt.C) (*State, *manifest.Manifest) {
+// largeState returns a state of the size that the system is designed for, 400 services
+// and 2,000 routes, and its manifest.
+func largeState(c *qt.C) (*State, *manifest.Manifest) {
 	m := &manifest.Manifest{Mesh: "m", Version: 1}
 	for i := range 400 {
 		m.Services = append(m.Services, manifest.Service{Name: fmt.Sprintf("service-%d", i), Allow: []string{"10.0.0.0/8"}})
@@ -97,10 +100,10 @@
 	return s, m
 }
 
-// BenchmarkApply applies a change of one route at the planned size.
+// BenchmarkApply applies a change of one route to a large state.
 func BenchmarkApply(b *testing.B) {
 	c := qt.New(b)
-	s, m := large(c)
+	s, m := largeState(c)
 	m.Version++
 	m.Routes[0].Priority++
 	next, err := s.Accept(m)
@@ -108,7 +111,7 @@
 	d := Diff(s, next)
 	raw, err := d.Encode()
 	c.Assert(err, qt.IsNil)
-	whole, err := next.Snapshot().Encode()
+	full, err := next.Snapshot().Encode()
 	c.Assert(err, qt.IsNil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -117,21 +120,21 @@
 		}
 	}
 	b.ReportMetric(float64(len(raw)), "delta-B")
-	b.ReportMetric(float64(len(whole)), "snapshot-B")
-	b.ReportMetric(float64(len(Pack(whole))), "packed-snapshot-B")
+	b.ReportMetric(float64(len(full)), "snapshot-B")
+	b.ReportMetric(float64(len(Pack(full))), "packed-snapshot-B")
 }
 
-// BenchmarkKept reports the heap that 64 versions of one changed route take,
-// as whole states and as deltas.
+// BenchmarkKept reports the heap size of 64 versions that differ in one route, kept as
+// complete states and as deltas.
 func BenchmarkKept(b *testing.B) {
 	c := qt.New(b)
 	for b.Loop() {
-		s, m := large(c)
+		s, m := largeState(c)
 		h := History{Count: 64, Bytes: 1 << 20}
 		var states []*State
 		s, err := s.Apply(Diff(Empty(), s))
 		c.Assert(err, qt.IsNil)
-		before := heap()
+		before := heapBytes()
 		for range 64 {
 			m.Version++
 			m.Routes[0].Priority++
@@ -142,18 +145,18 @@
 			h.Add(Diff(s, applied))
 			states, s = append(states, applied), applied
 		}
-		with := heap() - before
+		withStates := heapBytes() - before
 		runtime.KeepAlive(states)
 		states = nil
-		b.ReportMetric(with/1024, "states-KiB")
-		b.ReportMetric((heap()-before)/1024, "deltas-KiB")
+		b.ReportMetric(withStates/1024, "states-KiB")
+		b.ReportMetric((heapBytes()-before)/1024, "deltas-KiB")
 		runtime.KeepAlive(m)
 		runtime.KeepAlive(&h)
 		runtime.KeepAlive(s)
 	}
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/version/fleet/fuzz_test.go
+++ b/internal/version/fleet/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// FuzzDelta looks for a packed delta that a daemon does not survive, or that leaves a
-// state whose hash is not the one it announces.
+// FuzzDelta checks that no packed delta causes a panic, exceeds the size limit, or
+// produces a state whose hash or version differs from those in the delta.
 func FuzzDelta(f *testing.F) {
 	state, err := Empty().Accept(&manifest.Manifest{
 		Mesh: "m", Version: 1, Services: []manifest.Service{{Name: "s"}},
@@ -21,8 +21,8 @@
 		f.Fatal(err)
 	}
 	f.Add(Pack(raw))
-	f.Add(append([]byte{packPlain}, raw...))
-	f.Add([]byte{packZstd, 0x28, 0xb5, 0x2f, 0xfd})
+	f.Add(append([]byte{encodingPlain}, raw...))
+	f.Add([]byte{encodingZstd, 0x28, 0xb5, 0x2f, 0xfd})
 	const limit = 1 << 20
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		raw, err := Unpack(packed, limit)
@@ -42,7 +42,7 @@
 				continue
 			}
 			if next.Hash() != delta.Hash || next.Version != delta.To {
-				t.Fatalf("version %d, hash %x; announced %d, %x", next.Version, next.Hash(), delta.To, delta.Hash)
+				t.Fatalf("got version %d and hash %x, want %d and %x", next.Version, next.Hash(), delta.To, delta.Hash)
 			}
 			for _, mesh := range next.Meshes() {
 				_, _ = next.Manifest(mesh)
--- a/internal/version/fleet/history.go
+++ b/internal/version/fleet/history.go
@@ -2,20 +2,22 @@
 
 import "slices"
 
-// History is the newest deltas of a chain of states, for those a few versions
-// behind. It holds deltas and not states: a delta shares its values with the
-// state it led to, so that the history costs only what has changed since.
+// History keeps the newest deltas of a sequence of states, to send to daemons that
+// are a few versions behind. It keeps deltas instead of states because a delta shares
+// its values with the state that it produced, so that only the values changed since
+// then take extra memory.
 type History struct {
-	// Count and Bytes bound what is kept; a zero bound keeps nothing.
+	// Count and Bytes are the maximum number and total size of the deltas that are
+	// kept; zero keeps none.
 	Count int
 	Bytes int
-	// deltas are a chain: each begins at or before the end of the one before.
+	// deltas form a chain: each starts at or before the end of the previous one.
 	deltas []*Delta
 	size   int
 }
 
-// Add appends the delta that led to the newest state. One that does not follow
-// on what is held, and a snapshot, begins the history anew.
+// Add appends the delta that produced the newest state. A snapshot clears the history,
+// and a delta that leaves a gap after the last one restarts it.
 func (h *History) Add(d *Delta) {
 	if n := len(h.deltas); d.From == 0 || (n > 0 && h.deltas[n-1].To < d.From) {
 		h.deltas, h.size = nil, 0
@@ -32,9 +34,9 @@
 	}
 }
 
-// Since merges all deltas after version into one, the last value of each key
-// winning, and reports whether the history reaches back so far. As it names
-// every key that changed on the way, it applies to the versions in between too.
+// Since merges all deltas after version into one, with the last value of each key,
+// and reports whether the history goes back that far. The result contains every key
+// that changed, so it also applies to each version in between.
 func (h *History) Since(version uint64) (*Delta, bool) {
 	n := len(h.deltas)
 	if n == 0 || version < h.deltas[0].From || version >= h.deltas[n-1].To {
@@ -55,10 +57,11 @@
 	return merged, true
 }
 
-// changeOverhead is the memory of a Change besides its strings and value.
+// changeOverhead is the approximate memory of a Change without its strings and value,
+// in bytes.
 const changeOverhead = 72
 
-// size is about what d holds in memory, in bytes.
+// size returns the approximate memory of d in bytes.
 func (d *Delta) size() int {
 	sum := 0
 	for _, c := range d.Changes {
--- a/internal/version/fleet/rollout.go
+++ b/internal/version/fleet/rollout.go
@@ -8,40 +8,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// KindRollout is the resource of a service whose software versions are known: which
-// version serves, and the newest roll-out of another. It is no part of a manifest and
-// outlives each of them.
+// KindRollout is the kind of a Rollout: for a service whose software versions are
+// known, the version that serves and the newest rollout of another version. It is not
+// part of a manifest and persists when manifests change.
 const KindRollout Kind = "rollout"
 
-// ofManifest reports whether resources of the kind are the services and routes of a
-// manifest.
-func (k Kind) ofManifest() bool { return k == KindService || k == KindRoute }
+// isServiceOrRoute reports whether resources of the kind come from the services and
+// routes of a manifest.
+func (k Kind) isServiceOrRoute() bool { return k == KindService || k == KindRoute }
 
-// Stage is how far a roll-out has come. The numbers are those of the log and stay.
+// Stage is the stage of a rollout. The values are stored in the replicated log and
+// must not change.
 type Stage uint8
 
-// The stages. A roll-out goes from Canary to Proof to Handover to Completed, or from
-// each of the first three to RolledBack.
+// The stages of a rollout. A rollout advances from Canary to Proof, Handover and
+// Completed, or from any of the first three to RolledBack.
 const (
-	// Admitted: the serving version is known, and there was no roll-out yet.
+	// Admitted means that the serving version is known and that there was no rollout
+	// yet.
 	Admitted Stage = iota
-	// Canary: a few servers of the target version get a part of the requests.
+	// Canary means that a few servers of the target version receive a fraction of the
+	// requests.
 	Canary
-	// Proof: all servers of the target version get all that the exposure budget of each
-	// daemon still allows.
+	// Proof means that all servers of the target version receive as many requests as
+	// the exposure budget of each daemon still allows.
 	Proof
-	// Handover: the target version gets every request, and the version before it finishes
-	// what it runs.
+	// Handover means that the target version receives all new requests while servers
+	// of the previous version finish the requests in progress.
 	Handover
-	// Completed: the target version serves. It is final.
+	// Completed means that the target version serves. This stage is final.
 	Completed
-	// RolledBack: the version before it serves. It is final.
+	// RolledBack means that the previous version serves. This stage is final.
 	RolledBack
 )
 
 var stageNames = [...]string{"admitted", "canary", "proof", "handover", "completed", "rolled_back"}
 
-// String returns the name shown to operators.
+// String returns the name that is shown to operators.
 func (s Stage) String() string {
 	if int(s) < len(stageNames) {
 		return stageNames[s]
@@ -62,14 +65,14 @@
 	return nil
 }
 
-// Running reports whether a roll-out in this stage is not decided yet.
+// Running reports whether a rollout in this stage is still in progress.
 func (s Stage) Running() bool { return s == Canary || s == Proof || s == Handover }
 
-// Final reports whether a roll-out in this stage is decided.
+// Final reports whether a rollout in this stage has ended.
 func (s Stage) Final() bool { return s == Completed || s == RolledBack }
 
-// leadsTo reports whether a roll-out may go from one stage to another.
-func (s Stage) leadsTo(next Stage) bool {
+// canTransitionTo reports whether a rollout in stage s may enter stage next.
+func (s Stage) canTransitionTo(next Stage) bool {
 	switch next {
 	case Canary:
 		return s == Canary
@@ -87,31 +90,32 @@
 
 // Rollout is the resource of KindRollout.
 type Rollout struct {
-	// Number counts the roll-outs of the service; 0 while there was none.
+	// Number counts the rollouts of the service; 0 if there was none.
 	Number uint64 `cbor:"1,keyasint" json:"number"`
-	// Version is the software version that serves until Completed, and Target the one
-	// that takes its place.
+	// Version is the software version that serves until Completed; Target is the
+	// version that replaces it.
 	Version string `cbor:"2,keyasint" json:"version"`
 	Target  string `cbor:"3,keyasint,omitempty" json:"target,omitempty"`
 	Stage   Stage  `cbor:"4,keyasint,omitempty" json:"stage"`
-	// Servers is how many servers of the target version get requests in Canary.
+	// Servers is the number of servers of the target version that receive requests in
+	// Canary.
 	Servers int `cbor:"5,keyasint,omitempty" json:"servers,omitempty"`
-	// Within is the time in which the roll-out is to be decided.
+	// Within is the time within which the rollout must end.
 	Within time.Duration `cbor:"6,keyasint,omitempty" json:"within_ns,omitempty"`
-	// Ordered and Ended are when it was ordered and decided, by the clocks of the sources
-	// that took that in.
+	// Ordered and Ended are when the rollout was ordered and when it ended, by the
+	// clocks of the sources that accepted the order and the final stage.
 	Ordered time.Time `cbor:"7,keyasint" json:"ordered"`
 	Ended   time.Time `cbor:"8,keyasint" json:"ended"`
-	// Why tells what the newest stage was entered for.
+	// Why is the reason for entering the current stage.
 	Why string `cbor:"9,keyasint,omitempty" json:"why,omitempty"`
-	// Past are the roll-outs before it, oldest first, MaxPast at the most.
+	// Past lists previous rollouts, oldest first, at most MaxPast.
 	Past []RolloutLine `cbor:"10,keyasint,omitempty" json:"past,omitempty"`
 }
 
-// MaxPast bounds the roll-outs of a service that are remembered besides the newest.
+// MaxPast is the maximum number of previous rollouts that are kept per service.
 const MaxPast = 8
 
-// RolloutLine is one roll-out in a history.
+// RolloutLine is the summary of one rollout in a history.
 type RolloutLine struct {
 	Number  uint64    `cbor:"1,keyasint" json:"number"`
 	Version string    `cbor:"2,keyasint" json:"version"`
@@ -122,12 +126,12 @@
 	Why     string    `cbor:"7,keyasint,omitempty" json:"why,omitempty"`
 }
 
-// Line is the roll-out as a line of the history.
+// Line returns the summary of the rollout for the history.
 func (r *Rollout) Line() RolloutLine {
 	return RolloutLine{Number: r.Number, Version: r.Version, Target: r.Target, Stage: r.Stage, Ordered: r.Ordered, Ended: r.Ended, Why: r.Why}
 }
 
-// Next returns the roll-out to another version that is ordered after this one was decided.
+// Next returns a new rollout, to version target, that follows r. r must have ended.
 func (r *Rollout) Next(target string, within time.Duration, ordered time.Time) *Rollout {
 	next := &Rollout{
 		Number: r.Number + 1, Version: r.Serving(), Target: target, Stage: Canary,
@@ -140,9 +144,9 @@
 	return next
 }
 
-// Admits reports whether servers of a software version may be chosen. In Handover the version
-// before still may, for a daemon that has the stage no longer in force than others the one
-// that follows has to find its servers.
+// Admits reports whether servers of a software version may be selected for requests.
+// In Handover the previous version may still be selected: a daemon that is still in
+// Handover after others have rolled back must be able to find its servers.
 func (r *Rollout) Admits(version string) bool {
 	switch r.Stage {
 	case Canary, Proof, Handover:
@@ -153,14 +157,14 @@
 	return version == r.Version
 }
 
-// Takes reports whether servers of a software version take new requests: those that Admits
-// allows, but for the version before in Handover. The daemon beside a server keeps to it,
-// whatever stage the one has in force that sends a request.
+// Takes reports whether servers of a software version accept new requests. It differs
+// from Admits in Handover, where the previous version accepts none. The daemon that a
+// server is announced to enforces it, whatever stage the sender of the request is in.
 func (r *Rollout) Takes(version string) bool {
 	return r.Admits(version) && (r.Stage != Handover || version == r.Target)
 }
 
-// Serving is the software version that serves when no roll-out runs.
+// Serving returns the software version that serves while no rollout is in progress.
 func (r *Rollout) Serving() string {
 	if r.Stage == Completed {
 		return r.Target
@@ -168,23 +172,23 @@
 	return r.Version
 }
 
-// ErrStage is returned by Advance for a stage that does not follow.
-var ErrStage = errors.New("the stage does not follow")
+// ErrStage is returned by Advance for a stage that cannot follow the current one.
+var ErrStage = errors.New("invalid stage transition")
 
-// Advance returns the roll-out in its next stage.
+// Advance returns the rollout in its next stage, or ErrStage.
 func (r *Rollout) Advance(next Stage, servers int, why string, at time.Time) (*Rollout, error) {
-	if !r.Stage.leadsTo(next) {
+	if !r.Stage.canTransitionTo(next) {
 		return nil, errors.Wrapf(ErrStage, "%s after %s", next, r.Stage)
 	}
-	after := *r
-	after.Stage, after.Servers, after.Why = next, servers, why
+	advanced := *r
+	advanced.Stage, advanced.Servers, advanced.Why = next, servers, why
 	if next.Final() {
-		after.Ended = at
+		advanced.Ended = at
 	}
-	return &after, nil
+	return &advanced, nil
 }
 
-// Rollout returns the resource of a service, or nil where there is none.
+// Rollout returns the rollout resource of a service, or nil if there is none.
 func (s *State) Rollout(mesh, service string) *Rollout {
 	raw, ok := s.resources.Get(Key{Mesh: mesh, Kind: KindRollout, Name: service})
 	if !ok {
@@ -197,11 +201,11 @@
 	return r
 }
 
-// DecodeRollout reads a resource of KindRollout.
+// DecodeRollout decodes a resource of KindRollout.
 func DecodeRollout(raw []byte) (*Rollout, error) {
 	var r Rollout
 	if err := cbor.Unmarshal(raw, &r); err != nil {
-		return nil, errors.Wrap(err, "decode roll-out")
+		return nil, errors.Wrap(err, "decode rollout")
 	}
 	r.Ordered, r.Ended = r.Ordered.UTC(), r.Ended.UTC()
 	return &r, nil
@@ -213,15 +217,15 @@
 	return known
 }
 
-// SetRollout returns the state with the resource of a service.
+// SetRollout returns the state in which r is the rollout resource of a service.
 func (s *State) SetRollout(mesh, service string, r *Rollout) (*State, error) {
 	raw, err := encMode.Marshal(r)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode roll-out")
+		return nil, errors.Wrap(err, "encode rollout")
 	}
-	next := s.derive(s.Version + 1)
+	next := s.builder(s.Version + 1)
 	next.set(Key{Mesh: mesh, Kind: KindRollout, Name: service}, raw)
-	return next.finish(), nil
+	return next.build(), nil
 }
 
 // HasRollouts reports whether the state holds any resource of KindRollout.
