--- a/internal/version/document/diff.go
+++ b/internal/version/document/diff.go
@@ -6,17 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockSize is how many bytes two texts must share at a block's border for the shared
-// part to be found. The smaller, the more of a text with many small changes is shared,
-// and the longer a comparison takes.
+// blockSize is the size in bytes of the blocks by which shared parts are found: a
+// shared part is found only if it contains an aligned block of the old text. A smaller
+// size finds more shared parts in a text with many small changes, but makes the
+// comparison slower.
 const blockSize = 64
 
-// rollBase is the multiplier of the rolling hash (Karp and Rabin, "Efficient randomized
+// hashBase is the multiplier of the rolling hash (Karp and Rabin, "Efficient randomized
 // pattern-matching algorithms", 1987).
-const rollBase = 0x9E3779B97F4A7C15
+const hashBase = 0x9E3779B97F4A7C15
 
-// Diff returns the patch that leads from a document to a text. What is shared is found
-// by the hashes of the old text's blocks, as in Tridgell and Mackerras, "The rsync
+// Diff returns the patch from a document to a new text. It finds shared parts by the
+// rolling hashes of the old text's blocks, as in Tridgell and Mackerras, "The rsync
 // algorithm" (1996).
 func Diff(from Document, to []byte) (Patch, error) {
 	old, err := from.Bytes()
@@ -28,75 +29,77 @@
 		return p, nil
 	}
 	p.Sum = xxhash.Sum64(to)
-	w := differ{old: old, to: to, blocks: blocksOf(old)}
-	w.run()
-	p.Ops = w.ops
+	d := differ{old: old, to: to, blocks: indexBlocks(old)}
+	d.run()
+	p.Ops = d.ops
 	return p, nil
 }
 
-// blocksOf finds the blocks of a text by their hash.
-func blocksOf(text []byte) map[uint64]int {
+// indexBlocks maps the hash of each block of a text to the block's offset.
+func indexBlocks(text []byte) map[uint64]int {
 	blocks := make(map[uint64]int, len(text)/blockSize)
-	for at := 0; at+blockSize <= len(text); at += blockSize {
-		blocks[rollHash(text[at:at+blockSize])] = at
+	for offset := 0; offset+blockSize <= len(text); offset += blockSize {
+		blocks[blockHash(text[offset:offset+blockSize])] = offset
 	}
 	return blocks
 }
 
-// differ writes the operations that lead from old to to.
+// differ generates the operations that transform old into to.
 type differ struct {
 	old, to []byte
-	blocks  map[uint64]int
-	ops     []Op
-	// done is how much of to the operations have written.
-	done int
+	// blocks maps the hashes of the blocks of old to their offsets.
+	blocks map[uint64]int
+	ops    []Op
+	// written is the length of the prefix of to that ops produce.
+	written int
 }
 
-func (w *differ) run() {
-	w.match(0, 0)
-	for at := w.done; at+blockSize <= len(w.to); {
-		hash := rollHash(w.to[at : at+blockSize])
+func (d *differ) run() {
+	d.copyMatch(0, 0)
+	for pos := d.written; pos+blockSize <= len(d.to); {
+		hash := blockHash(d.to[pos : pos+blockSize])
 		for {
-			if from, ok := w.blocks[hash]; ok && w.match(from, at) {
-				at = w.done
+			if from, ok := d.blocks[hash]; ok && d.copyMatch(from, pos) {
+				pos = d.written
 				break
 			}
-			if at+blockSize >= len(w.to) {
-				at = len(w.to)
+			if pos+blockSize >= len(d.to) {
+				pos = len(d.to)
 				break
 			}
-			hash = roll(hash, w.to[at], w.to[at+blockSize])
-			at++
+			hash = rollHash(hash, d.to[pos], d.to[pos+blockSize])
+			pos++
 		}
 	}
-	w.insert(len(w.to))
+	d.insert(len(d.to))
 }
 
-// match writes what the old text has at from and the new at at, with what they share to
-// both sides of it, and reports whether that is a block or more.
-func (w *differ) match(from, at int) bool {
-	n := sharedPrefix(w.old[from:], w.to[at:])
+// copyMatch extends the match between offset from of the old text and offset pos of the
+// new text in both directions. If it spans at least one block, copyMatch writes the text
+// before it and a copy operation for the match, and returns true.
+func (d *differ) copyMatch(from, pos int) bool {
+	n := commonPrefixLen(d.old[from:], d.to[pos:])
 	if n < blockSize {
 		return false
 	}
-	for at > w.done && from > 0 && w.old[from-1] == w.to[at-1] {
-		from, at, n = from-1, at-1, n+1
+	for pos > d.written && from > 0 && d.old[from-1] == d.to[pos-1] {
+		from, pos, n = from-1, pos-1, n+1
 	}
-	w.insert(at)
-	w.ops = append(w.ops, Op{From: from, Len: n})
-	w.done = at + n
+	d.insert(pos)
+	d.ops = append(d.ops, Op{From: from, Len: n})
+	d.written = pos + n
 	return true
 }
 
-// insert writes the new text up to end as it is.
-func (w *differ) insert(end int) {
-	if end > w.done {
-		w.ops = append(w.ops, Op{Data: bytes.Clone(w.to[w.done:end])})
-		w.done = end
+// insert writes an operation with the literal bytes of the new text up to end.
+func (d *differ) insert(end int) {
+	if end > d.written {
+		d.ops = append(d.ops, Op{Data: bytes.Clone(d.to[d.written:end])})
+		d.written = end
 	}
 }
 
-func sharedPrefix(a, b []byte) int {
+func commonPrefixLen(a, b []byte) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -106,25 +109,26 @@
 	return n
 }
 
-// rollHash is the hash of one block.
-func rollHash(block []byte) uint64 {
+// blockHash returns the hash of one block.
+func blockHash(block []byte) uint64 {
 	var hash uint64
 	for _, b := range block {
-		hash = hash*rollBase + uint64(b)
+		hash = hash*hashBase + uint64(b)
 	}
 	return hash
 }
 
-// rollOut is rollBase to the power of blockSize.
-var rollOut = func() uint64 {
+// hashBasePower is hashBase to the power of blockSize.
+var hashBasePower = func() uint64 {
 	power := uint64(1)
 	for range blockSize {
-		power *= rollBase
+		power *= hashBase
 	}
 	return power
 }()
 
-// roll is the hash of the block one byte further on.
-func roll(hash uint64, out, in byte) uint64 {
-	return hash*rollBase + uint64(in) - rollOut*uint64(out)
+// rollHash returns the hash of the block that starts one byte later: it removes byte out
+// at the front and appends byte in.
+func rollHash(hash uint64, out, in byte) uint64 {
+	return hash*hashBase + uint64(in) - hashBasePower*uint64(out)
 }
--- a/internal/version/document/document_test.go
+++ b/internal/version/document/document_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// configuration is a text like those of operators, of so many routes.
+// configuration returns a text that resembles a manifest with the given number of
+// routes.
 func configuration(version, routes int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":"r%d","routes":[`, version)
@@ -22,14 +23,14 @@
 	return []byte(b.String())
 }
 
-// TestPatchesFollowEachOther holds the document after random changes, each taken in as an
-// encoded patch, against the text that was handed in.
+// TestPatchesFollowEachOther applies a sequence of random changes as encoded patches and
+// compares the document with the new text after each of them.
 func TestPatchesFollowEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := configuration(1, rapid.IntRange(0, 30).Draw(t, "routes"))
 		doc := New(bytes.Clone(text))
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
-			text = change(t, text)
+			text = mutate(t, text)
 			patch, err := Diff(doc, text)
 			if err != nil {
 				t.Fatal(err)
@@ -49,32 +50,33 @@
 			if err != nil || !bytes.Equal(got, text) {
 				t.Fatalf("%v: want %q, got %q", err, text, got)
 			}
-			if len(doc.pieces) > mostPieces {
+			if len(doc.pieces) > maxPieces {
 				t.Fatalf("%d pieces", len(doc.pieces))
 			}
 		}
 	})
 }
 
-// change moves, removes or inserts something at random.
-func change(t *rapid.T, text []byte) []byte {
-	a := rapid.IntRange(0, len(text)).Draw(t, "from")
-	b := rapid.IntRange(a, min(len(text), a+300)).Draw(t, "to")
-	cut := append(bytes.Clone(text[:a]), text[b:]...)
-	at := rapid.IntRange(0, len(cut)).Draw(t, "at")
-	put := text[a:b]
+// mutate removes a random range and inserts it, or random bytes, at a random offset.
+func mutate(t *rapid.T, text []byte) []byte {
+	start := rapid.IntRange(0, len(text)).Draw(t, "from")
+	end := rapid.IntRange(start, min(len(text), start+300)).Draw(t, "to")
+	rest := append(bytes.Clone(text[:start]), text[end:]...)
+	at := rapid.IntRange(0, len(rest)).Draw(t, "at")
+	inserted := text[start:end]
 	if rapid.Bool().Draw(t, "new") {
-		put = rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "bytes")
+		inserted = rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(t, "bytes")
 	}
-	return append(append(bytes.Clone(cut[:at]), put...), cut[at:]...)
+	return append(append(bytes.Clone(rest[:at]), inserted...), rest[at:]...)
 }
 
-// TestSmallChangeMakesSmallPatch holds that a version number and one route changed among
-// 4,000 travel as less than 400 bytes, and 40 routes in other places as less than 12 kB.
+// TestSmallChangeMakesSmallPatch checks the patch size for a new version number in a
+// text of 4,000 routes: less than 400 bytes if one route changes as well, less than 12 kB
+// if 40 scattered routes change.
 func TestSmallChangeMakesSmallPatch(t *testing.T) {
 	c := qt.New(t)
 	text := configuration(1, 4000)
-	for changed, most := range map[int]int{1: 400, 40: 12000} {
+	for changed, maxBytes := range map[int]int{1: 400, 40: 12000} {
 		next := configuration(2, 4000)
 		for i := range changed {
 			next = bytes.Replace(next, fmt.Appendf(nil, `/p%d/`, i*99*7919), fmt.Appendf(nil, `/other%d/`, i), 1)
@@ -83,12 +85,12 @@
 		c.Assert(err, qt.IsNil)
 		raw, err := cbor.Marshal(patch)
 		c.Assert(err, qt.IsNil)
-		c.Check(len(raw) < most, qt.IsTrue, qt.Commentf("%d bytes for %d routes", len(raw), changed))
+		c.Check(len(raw) < maxBytes, qt.IsTrue, qt.Commentf("%d bytes for %d routes", len(raw), changed))
 	}
 }
 
-// TestPatchOfAnotherTextIsRefused holds that nothing but the text that a patch was made
-// for takes it in.
+// TestPatchOfAnotherTextIsRefused checks that Apply rejects a patch to a different text
+// and a corrupt patch, and that Bytes detects a wrong hash.
 func TestPatchOfAnotherTextIsRefused(t *testing.T) {
 	c := qt.New(t)
 	text := configuration(1, 20)
@@ -98,7 +100,7 @@
 	c.Check(err, qt.ErrorIs, ErrBase)
 	_, err = Document{}.Apply(patch)
 	c.Check(err, qt.ErrorIs, ErrBase)
-	for _, spoil := range []func(p *Patch){
+	for _, corrupt := range []func(p *Patch){
 		func(p *Patch) { p.Size++ },
 		func(p *Patch) { p.Ops = p.Ops[1:] },
 		func(p *Patch) { p.Ops = append([]Op{{From: len(text), Len: 1}}, p.Ops...) },
@@ -107,7 +109,7 @@
 	} {
 		bad := patch
 		bad.Ops = append([]Op(nil), patch.Ops...)
-		spoil(&bad)
+		corrupt(&bad)
 		_, err = New(text).Apply(bad)
 		c.Check(err, qt.ErrorIs, ErrPatch)
 	}
@@ -118,8 +120,8 @@
 	c.Check(err, qt.ErrorIs, ErrSum)
 }
 
-// FuzzPatch looks for a patch that a source does not survive, or that makes a document of
-// another size than it announces.
+// FuzzPatch checks that no patch causes a panic or produces a document whose size differs
+// from the size in the patch.
 func FuzzPatch(f *testing.F) {
 	text := configuration(1, 5)
 	patch, err := Diff(New(text), configuration(12, 6))
@@ -142,12 +144,12 @@
 			return
 		}
 		if got, err := doc.Bytes(); err == nil && (len(got) != patch.Size || doc.Len() != patch.Size) {
-			t.Fatalf("%d bytes, announced %d", len(got), patch.Size)
+			t.Fatalf("got %d bytes, want %d", len(got), patch.Size)
 		}
 	})
 }
 
-// BenchmarkApply takes in the change of one route at several sizes.
+// BenchmarkApply applies patches that change the version number, for several text sizes.
 func BenchmarkApply(b *testing.B) {
 	for _, routes := range []int{400, 4000, 16000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
