--- a/internal/version/snapshot/compile_test.go
+++ b/internal/version/snapshot/compile_test.go
@@ -13,8 +13,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// TestCompileAfterEqualsCompile holds that a compilation that reuses the one
-// before answers as a whole one does, over any sequence of accepted manifests.
+// TestCompileAfterEqualsCompile checks, for random sequences of accepted manifests, that
+// an incremental compilation gives the same results as a full one.
 func TestCompileAfterEqualsCompile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := fleet.Empty()
@@ -22,21 +22,21 @@
 		for step := range rapid.IntRange(1, 8).Draw(t, "steps") {
 			mesh := fmt.Sprintf("m%d", rapid.IntRange(0, 2).Draw(t, "mesh"))
 			next, err := state.Accept(drawManifest(t, mesh, uint64(step+1)))
-			check(t, err)
+			noError(t, err)
 			state = next
-			whole, err := Compile(state)
-			check(t, err)
-			reused, err := CompileAfter(previous, state)
-			check(t, err)
-			if got, want := answers(reused), answers(whole); !slices.Equal(got, want) {
-				t.Fatalf("reused: %q\nwhole: %q", got, want)
+			full, err := Compile(state)
+			noError(t, err)
+			incremental, err := CompileAfter(previous, state)
+			noError(t, err)
+			if got, want := matchResults(incremental), matchResults(full); !slices.Equal(got, want) {
+				t.Fatalf("incremental: %q\nfull: %q", got, want)
 			}
-			previous = reused
+			previous = incremental
 		}
 	})
 }
 
-func check(t *rapid.T, err error) {
+func noError(t *rapid.T, err error) {
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,15 +52,15 @@
 		m.Services = append(m.Services, manifest.Service{Name: fmt.Sprintf("s%d", i), Slots: rapid.IntRange(1, 3).Draw(t, "slots")})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "routes") {
-		to := m.Services[rapid.IntRange(0, len(m.Services)-1).Draw(t, "target")].Name
-		m.Routes = append(m.Routes, manifest.Route{Name: fmt.Sprintf("r%d", i), Path: fmt.Sprintf("/p%d", i), Service: to})
+		target := m.Services[rapid.IntRange(0, len(m.Services)-1).Draw(t, "target")].Name
+		m.Routes = append(m.Routes, manifest.Route{Name: fmt.Sprintf("r%d", i), Path: fmt.Sprintf("/p%d", i), Service: target})
 	}
 	return m
 }
 
-// answers is what a snapshot says to every request that a drawn manifest can
-// speak of.
-func answers(s *Snapshot) []string {
+// matchResults describes how a snapshot matches each host and path that drawManifest can
+// generate.
+func matchResults(s *Snapshot) []string {
 	lines := []string{fmt.Sprintf("version %d hash %x services %d", s.Version, s.Hash, len(s.Services()))}
 	for mesh := range 6 {
 		for path := range 4 {
@@ -76,10 +76,11 @@
 	return lines
 }
 
-// BenchmarkCompileAfter changes one of 64 meshes of 30 routes each.
+// BenchmarkCompileAfter compiles a version in which one of 64 meshes, of 30 routes each,
+// differs.
 func BenchmarkCompileAfter(b *testing.B) {
 	state := fleet.Empty()
-	big := func(mesh string, version uint64) *manifest.Manifest {
+	newManifest := func(mesh string, version uint64) *manifest.Manifest {
 		m := &manifest.Manifest{Mesh: mesh, Version: version, Hosts: []string{mesh}, Services: []manifest.Service{{Name: "s"}}}
 		for i := range 30 {
 			m.Routes = append(m.Routes, manifest.Route{Name: fmt.Sprintf("r%d", i), Path: fmt.Sprintf("/p%d", i), Service: "s"})
@@ -87,25 +88,26 @@
 		return m
 	}
 	for i := range 64 {
-		state, _ = state.Accept(big(fmt.Sprintf("m%d", i), 1))
+		state, _ = state.Accept(newManifest(fmt.Sprintf("m%d", i), 1))
 	}
 	previous, err := Compile(state)
 	qt.Assert(b, err, qt.IsNil)
-	next, err := state.Accept(big("m7", 2))
+	next, err := state.Accept(newManifest("m7", 2))
 	qt.Assert(b, err, qt.IsNil)
 	for _, mode := range []struct {
-		name string
-		from *Snapshot
+		name     string
+		previous *Snapshot
 	}{{"whole", nil}, {"after", previous}} {
 		b.Run(mode.name, func(b *testing.B) {
 			for b.Loop() {
-				_, _ = CompileAfter(mode.from, next)
+				_, _ = CompileAfter(mode.previous, next)
 			}
 		})
 	}
 }
 
-// BenchmarkCompileLimits compiles a version in which only the limits of its mesh differ.
+// BenchmarkCompileLimits compiles a version in which only the limits of a mesh differ, for
+// several numbers of routes.
 func BenchmarkCompileLimits(b *testing.B) {
 	for _, routes := range []int{400, 1500, 4000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
@@ -130,8 +132,8 @@
 	}
 }
 
-// BenchmarkCompileOneOf compiles a version in which one of so many routes of one mesh
-// differs.
+// BenchmarkCompileOneOf compiles a version in which one route of a mesh differs, for
+// several numbers of routes.
 func BenchmarkCompileOneOf(b *testing.B) {
 	for _, routes := range []int{400, 4000, 16000} {
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
--- a/internal/version/snapshot/match.go
+++ b/internal/version/snapshot/match.go
@@ -8,53 +8,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrAmbiguousPath is returned for a path whose target depends on who reads it:
-// one with dot segments or a backslash. Such a request could match one route
-// here and mean another to the backend server.
+// ErrAmbiguousPath is returned for a path with dot segments or a backslash, which
+// implementations interpret differently. Such a request could match one route here
+// but be handled as another path by the backend server.
 var ErrAmbiguousPath = errors.New("the path has dot segments or a backslash")
 
-// table finds the routes of one host. A route's path is its key; a request
-// looks up the segment borders of its own path, longest first, so that the cost
-// depends on the depth of the path and not on the number of routes.
-type table struct {
+// routeTable holds the routes of one host, keyed by path. A lookup tries the prefixes of
+// the request's path at its segment boundaries, longest first, so that its cost depends
+// on the depth of the path and not on the number of routes.
+type routeTable struct {
 	routes map[string][]*Route
-	// longest is the length of the longest key: no longer prefix is looked up.
-	longest int
+	// maxKeyLen is the length of the longest key; longer prefixes are not looked up.
+	maxKeyLen int
 }
 
-func (t *table) add(r *Route) {
+func (t *routeTable) add(r *Route) {
 	t.routes[r.Path] = append(t.routes[r.Path], r)
-	t.longest = max(t.longest, len(r.Path))
+	t.maxKeyLen = max(t.maxKeyLen, len(r.Path))
 }
 
-// find returns the route with the longest path that takes the method, or nil.
-func (t *table) find(method, path string) *Route {
+// find returns the route with the longest matching path that allows the method, or nil.
+func (t *routeTable) find(method, path string) *Route {
 	if t == nil {
 		return nil
 	}
-	if r := t.at(method, path); r != nil {
+	if r := t.lookup(method, path); r != nil {
 		return r
 	}
-	end := min(len(path), t.longest+1)
+	end := min(len(path), t.maxKeyLen+1)
 	for i := strings.LastIndexByte(path[:end], '/'); i >= 0; i = strings.LastIndexByte(path[:i], '/') {
-		if r := t.at(method, path[:i+1]); r != nil {
+		if r := t.lookup(method, path[:i+1]); r != nil {
 			return r
 		}
-		if r := t.at(method, path[:i]); r != nil {
+		if r := t.lookup(method, path[:i]); r != nil {
 			return r
 		}
 	}
 	return nil
 }
 
-func (t *table) at(method, key string) *Route {
-	if len(key) > t.longest {
+// lookup returns the route with exactly the path key that allows the method, or nil.
+func (t *routeTable) lookup(method, key string) *Route {
+	if len(key) > t.maxKeyLen {
 		return nil
 	}
-	return pick(t.routes[key], method)
+	return firstForMethod(t.routes[key], method)
 }
 
-func pick(routes []*Route, method string) *Route {
+func firstForMethod(routes []*Route, method string) *Route {
 	for _, r := range routes {
 		if len(r.Methods) == 0 || slices.Contains(r.Methods, method) {
 			return r
@@ -63,23 +64,24 @@
 	return nil
 }
 
-// Match returns the route for a request, or nil without one. A route of the
-// request's own host goes before one for any host; within a host the longest
-// path goes first. Host may carry a port and a trailing dot, in any case; path
-// is the escaped path.
+// Match returns the route for a request, or nil if there is none. Routes for the
+// request's host take precedence over routes for any host; within a host, the longest
+// path wins. The host may have a port and a trailing dot and is case-insensitive; path is
+// the escaped path.
 func (s *Snapshot) Match(method, host, path string) (*Route, error) {
-	path, err := cleanPath(path)
+	path, err := normalizePath(path)
 	if err != nil {
 		return nil, err
 	}
-	if r := s.hosts[cleanHost(host)].find(method, path); r != nil {
+	if r := s.hosts[normalizeHost(host)].find(method, path); r != nil {
 		return r, nil
 	}
 	return s.hosts[""].find(method, path), nil
 }
 
-// cleanHost brings a host name into the form of the table's keys.
-func cleanHost(host string) string {
+// normalizeHost returns the host in lower case, without port, brackets and trailing dot,
+// as in the keys of Snapshot.hosts.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && isPort(host, i) {
 		host = host[:i]
 	}
@@ -87,15 +89,16 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// isPort reports whether the colon at i begins a port and not the last group of
-// an IPv6 address.
+// isPort reports whether the colon at index i precedes a port rather than the last group
+// of an IPv6 address.
 func isPort(host string, i int) bool {
 	return host[max(i-1, 0)] == ']' || strings.IndexByte(host, ':') == i
 }
 
-// cleanPath undoes the escapes of a path, for the match alone: it is sent on as
-// it came. An encoded slash parts no segments, and a bad escape stays as it is.
-func cleanPath(path string) (string, error) {
+// normalizePath decodes a path for matching only; the request is forwarded with the
+// original path. An encoded slash does not separate segments, and invalid escapes are
+// left as they are.
+func normalizePath(path string) (string, error) {
 	if path == "" || path[0] != '/' {
 		path = "/" + path
 	}
@@ -108,7 +111,7 @@
 	return path, nil
 }
 
-// encodedSlash stands for an encoded slash within a segment; no route has it.
+// encodedSlash represents an encoded slash within a segment. It occurs in no route path.
 const encodedSlash = "\x00"
 
 func unescape(path string) string {
--- a/internal/version/snapshot/match_test.go
+++ b/internal/version/snapshot/match_test.go
@@ -10,11 +10,11 @@
 )
 
 func compiled(tb testing.TB, hosts []string, routes ...manifest.Route) *Snapshot {
-	s := &Snapshot{services: map[ServiceKey]*Service{}, hosts: map[string]*table{}, parts: map[string]*part{}}
+	s := &Snapshot{services: map[ServiceKey]*Service{}, hosts: map[string]*routeTable{}, meshes: map[string]*compiledMesh{}}
 	m := &manifest.Manifest{Mesh: "m", Version: 1, Hosts: hosts, Services: []manifest.Service{{Name: "s"}}, Routes: routes}
-	p, err := newPart(m)
+	mesh, err := compileManifest(m)
 	qt.Assert(tb, err, qt.IsNil)
-	s.add(m.Mesh, p)
+	s.add(m.Mesh, mesh)
 	return s
 }
 
--- a/internal/version/snapshot/rollout.go
+++ b/internal/version/snapshot/rollout.go
@@ -10,7 +10,7 @@
 	state.EachOf(mesh, fleet.KindRollout, func(k fleet.Key, raw []byte) {
 		r, err := fleet.DecodeRollout(raw)
 		if err != nil {
-			failed = errors.CombineErrors(failed, errors.Wrapf(err, "roll-out of %s", k.Name))
+			failed = errors.CombineErrors(failed, errors.Wrapf(err, "rollout of %s", k.Name))
 			return
 		}
 		s.rollouts[ServiceKey{Mesh: mesh, Name: k.Name}] = r
@@ -18,17 +18,18 @@
 	return failed
 }
 
-// Rollout returns what is known of a service's software versions, or nil.
+// Rollout returns the rollout resource of a service, or nil if its software versions
+// are not known.
 func (s *Snapshot) Rollout(k ServiceKey) *fleet.Rollout { return s.rollouts[k] }
 
-// Admits reports whether servers of a software version may get requests: any, while
-// nothing is known of the service's versions.
+// Admits reports whether servers of a software version may be selected for requests.
+// While the service's versions are not known, every version may.
 func (s *Snapshot) Admits(k ServiceKey, version string) bool {
 	r := s.rollouts[k]
 	return r == nil || r.Admits(version)
 }
 
-// RolloutRuns reports whether any roll-out is not decided yet.
+// RolloutRuns reports whether any rollout is in progress.
 func (s *Snapshot) RolloutRuns() bool {
 	for _, r := range s.rollouts {
 		if r.Stage.Running() {
@@ -38,11 +39,11 @@
 	return false
 }
 
-// Takes reports whether servers of a software version take new requests.
+// Takes reports whether servers of a software version accept new requests.
 func (s *Snapshot) Takes(k ServiceKey, version string) bool {
 	r := s.rollouts[k]
 	return r == nil || r.Takes(version)
 }
 
-// Rollouts returns those of every service; the map must not be changed.
+// Rollouts returns the rollout resources of all services. The map must not be modified.
 func (s *Snapshot) Rollouts() map[ServiceKey]*fleet.Rollout { return s.rollouts }
--- a/internal/version/snapshot/snapshot.go
+++ b/internal/version/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package snapshot compiles a fleet.State into the immutable form that answers
-// requests. A daemon swaps one pointer to a Snapshot; a request keeps the one
-// it began with. Compile either returns a whole snapshot or an error, never a
-// part.
+// Package snapshot compiles a fleet.State into an immutable form for routing
+// requests. A daemon replaces its Snapshot by swapping one pointer; a request uses
+// the same Snapshot from start to end. Compile returns either a complete snapshot
+// or an error.
 package snapshot
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// ServiceKey names a service within the fleet.
+// ServiceKey identifies a service within the fleet.
 type ServiceKey struct {
 	Mesh, Name string
 }
@@ -30,12 +30,12 @@
 	manifest.Service
 	Key   ServiceKey
 	allow []netip.Prefix
-	// raw is the resource that it was compiled from.
+	// raw is the encoded resource that the service was compiled from.
 	raw []byte
 }
 
 // Allows reports whether a backend server at addr may serve s. A service
-// without an allow list takes any server.
+// without an allow list accepts any address.
 func (s *Service) Allows(addr netip.Addr) bool {
 	if len(s.allow) == 0 {
 		return true
@@ -47,68 +47,69 @@
 type Route struct {
 	manifest.Route
 	Mesh string
-	// Targets is never empty: a route to a missing service does not compile.
+	// Targets is never empty: compiling a route to a missing service fails.
 	Targets []Target
-	// Weight is the sum of the weights of Targets, above 0.
+	// Weight is the sum of the weights of Targets. It is above 0.
 	Weight uint64
-	// Limits are those of the route's mesh.
+	// Limits are the limits of the route's mesh.
 	Limits manifest.Limits
 	hosts  []string
-	// raw is the resource that it was compiled from.
+	// raw is the encoded resource that the route was compiled from.
 	raw []byte
 }
 
-// Target is one service that a route leads to.
+// Target is one service that a route sends requests to.
 type Target struct {
 	Service *Service
 	Weight  uint64
 }
 
-// Pick returns the service for one request; draw is a random number.
-func (r *Route) Pick(draw uint64) *Service {
-	at := draw % r.Weight
+// Pick returns the service for one request, chosen by weight with the given random
+// number.
+func (r *Route) Pick(random uint64) *Service {
+	rest := random % r.Weight
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if rest < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		rest -= t.Weight
 	}
 	return r.Targets[0].Service
 }
 
-// Snapshot is one version, ready to answer requests.
+// Snapshot is the compiled configuration of one fleet version.
 type Snapshot struct {
 	Version  uint64
 	Hash     uint64
 	services map[ServiceKey]*Service
-	hosts    map[string]*table // "" is any host
-	// parts are the meshes by name, for the compilation of the next version.
-	parts map[string]*part
-	// rollouts are those of the services whose software versions are known.
+	hosts    map[string]*routeTable // "" is any host
+	// meshes maps names to compiled meshes, for reuse when the next version is compiled.
+	meshes map[string]*compiledMesh
+	// rollouts has an entry for each service whose software versions are known.
 	rollouts map[ServiceKey]*fleet.Rollout
 }
 
-// part is one compiled mesh. It is immutable and shared between versions.
-type part struct {
+// compiledMesh is one compiled mesh. It is immutable and shared between versions.
+type compiledMesh struct {
 	header   fleet.MeshHeader
 	services map[ServiceKey]*Service
-	// routes are in the order of their names.
+	// routes are sorted by name.
 	routes []*Route
 }
 
 // Compile builds the snapshot of a state.
 func Compile(state *fleet.State) (*Snapshot, error) { return CompileAfter(nil, state) }
 
-// CompileAfter builds the snapshot of a state and takes what did not change
-// from the one before it: services and routes whose resources are the same are
-// not decoded again, which is most of the work where one route of many changes.
+// CompileAfter builds the snapshot of a state and reuses unchanged parts of the
+// previous snapshot: services and routes with the same resource are not decoded
+// again, which saves most of the work if one of many routes changes.
 func CompileAfter(previous *Snapshot, state *fleet.State) (*Snapshot, error) {
 	s := &Snapshot{
 		Version:  state.Version,
 		Hash:     state.Hash(),
 		services: map[ServiceKey]*Service{},
-		hosts:    map[string]*table{},
-		parts:    map[string]*part{},
+		hosts:    map[string]*routeTable{},
+		meshes:   map[string]*compiledMesh{},
 		rollouts: map[ServiceKey]*fleet.Rollout{},
 	}
 	for _, mesh := range state.Meshes() {
@@ -124,39 +125,39 @@
 	return s, nil
 }
 
-// compileMesh takes what it can from the part of the mesh in the snapshot before.
-func compileMesh(previous *Snapshot, state *fleet.State, mesh string) (*part, error) {
-	header, known := state.Mesh(mesh)
-	if !known {
-		return nil, errors.New("unreadable header")
+// compileMesh compiles one mesh and reuses unchanged parts of the previous snapshot.
+func compileMesh(previous *Snapshot, state *fleet.State, mesh string) (*compiledMesh, error) {
+	header, ok := state.Mesh(mesh)
+	if !ok {
+		return nil, errors.New("cannot decode mesh header")
 	}
-	var old *part
+	var old *compiledMesh
 	if previous != nil {
-		old = previous.parts[mesh]
+		old = previous.meshes[mesh]
 	}
 	if old != nil && old.header.Fleet == header.Fleet && old.header.Content == header.Content {
 		return old, nil
 	}
 	if old == nil {
-		old = &part{}
+		old = &compiledMesh{}
 	}
-	p := &part{header: header, services: make(map[ServiceKey]*Service, len(old.services))}
-	if err := p.compileServices(old, state, mesh); err != nil {
+	c := &compiledMesh{header: header, services: make(map[ServiceKey]*Service, len(old.services))}
+	if err := c.compileServices(old, state, mesh); err != nil {
 		return nil, err
 	}
-	return p, p.compileRoutes(old, state, mesh)
+	return c, c.compileRoutes(old, state, mesh)
 }
 
-func (p *part) compileServices(old *part, state *fleet.State, mesh string) (failed error) {
+func (c *compiledMesh) compileServices(old *compiledMesh, state *fleet.State, mesh string) (failed error) {
 	state.EachOf(mesh, fleet.KindService, func(k fleet.Key, raw []byte) {
 		key := ServiceKey{Mesh: mesh, Name: k.Name}
-		if same := old.services[key]; same != nil && bytes.Equal(same.raw, raw) {
-			p.services[key] = same
+		if reused := old.services[key]; reused != nil && bytes.Equal(reused.raw, raw) {
+			c.services[key] = reused
 			return
 		}
 		v, err := fleet.DecodeService(raw)
 		if err == nil {
-			err = p.addService(mesh, v, raw)
+			err = c.addService(mesh, v, raw)
 		}
 		if err != nil {
 			failed = errors.CombineErrors(failed, errors.Wrapf(err, "service %s", k.Name))
@@ -165,30 +166,30 @@
 	return failed
 }
 
-func (p *part) compileRoutes(old *part, state *fleet.State, mesh string) (failed error) {
-	m := &manifest.Manifest{Mesh: mesh, Hosts: p.header.Hosts, Limits: p.header.Limits}
-	shares := slices.Equal(old.header.Hosts, m.Hosts) && old.header.Limits == m.Limits
-	p.routes = make([]*Route, 0, len(old.routes))
+func (c *compiledMesh) compileRoutes(old *compiledMesh, state *fleet.State, mesh string) (failed error) {
+	m := &manifest.Manifest{Mesh: mesh, Hosts: c.header.Hosts, Limits: c.header.Limits}
+	sameHeader := slices.Equal(old.header.Hosts, m.Hosts) && old.header.Limits == m.Limits
+	c.routes = make([]*Route, 0, len(old.routes))
 	rest := old.routes
 	state.EachOf(mesh, fleet.KindRoute, func(k fleet.Key, raw []byte) {
 		for len(rest) > 0 && rest[0].Name < k.Name {
 			rest = rest[1:]
 		}
-		same := len(rest) > 0 && bytes.Equal(rest[0].raw, raw)
-		if same && shares && p.holds(rest[0]) {
-			p.routes = append(p.routes, rest[0])
+		sameRoute := len(rest) > 0 && bytes.Equal(rest[0].raw, raw)
+		if sameRoute && sameHeader && c.ownsTargets(rest[0]) {
+			c.routes = append(c.routes, rest[0])
 			return
 		}
 		var v manifest.Route
 		var err error
-		if same {
-			// Only what the route has of its mesh is new.
+		if sameRoute {
+			// The route is unchanged; only hosts, limits or services of its mesh differ.
 			v = rest[0].Route
 		} else {
 			v, err = fleet.DecodeRoute(raw)
 		}
 		if err == nil {
-			err = p.addRoute(m, v, raw)
+			err = c.addRoute(m, v, raw)
 		}
 		if err != nil {
 			failed = errors.CombineErrors(failed, errors.Wrapf(err, "route %s", k.Name))
@@ -197,39 +198,39 @@
 	return failed
 }
 
-// holds reports whether a compiled route leads to this part's own services.
-func (p *part) holds(r *Route) bool {
+// ownsTargets reports whether all targets of a compiled route point to services of c.
+func (c *compiledMesh) ownsTargets(r *Route) bool {
 	for _, t := range r.Targets {
-		if p.services[t.Service.Key] != t.Service {
+		if c.services[t.Service.Key] != t.Service {
 			return false
 		}
 	}
 	return true
 }
 
-// Check reports why no daemon could put m in force, or nil.
+// Check returns an error if m cannot be compiled, so that no daemon could apply it.
 func Check(m *manifest.Manifest) error {
-	_, err := newPart(m)
+	_, err := compileManifest(m)
 	return err
 }
 
-// newPart compiles a manifest alone.
-func newPart(m *manifest.Manifest) (*part, error) {
-	p := &part{services: make(map[ServiceKey]*Service, len(m.Services))}
+// compileManifest compiles a manifest without a fleet.State.
+func compileManifest(m *manifest.Manifest) (*compiledMesh, error) {
+	c := &compiledMesh{services: make(map[ServiceKey]*Service, len(m.Services))}
 	for _, v := range m.Services {
-		if err := p.addService(m.Mesh, v, nil); err != nil {
+		if err := c.addService(m.Mesh, v, nil); err != nil {
 			return nil, errors.Wrapf(err, "service %s", v.Name)
 		}
 	}
 	for _, v := range m.Routes {
-		if err := p.addRoute(m, v, nil); err != nil {
+		if err := c.addRoute(m, v, nil); err != nil {
 			return nil, errors.Wrapf(err, "route %s", v.Name)
 		}
 	}
-	return p, nil
+	return c, nil
 }
 
-func (p *part) addService(mesh string, v manifest.Service, raw []byte) error {
+func (c *compiledMesh) addService(mesh string, v manifest.Service, raw []byte) error {
 	service := &Service{Service: v, Key: ServiceKey{Mesh: mesh, Name: v.Name}, raw: raw}
 	for _, text := range v.Allow {
 		prefix, err := netip.ParsePrefix(text)
@@ -238,24 +239,24 @@
 		}
 		service.allow = append(service.allow, prefix)
 	}
-	p.services[service.Key] = service
+	c.services[service.Key] = service
 	return nil
 }
 
-// addRoute joins a route to its services.
-func (p *part) addRoute(m *manifest.Manifest, v manifest.Route, raw []byte) error {
+// addRoute compiles a route and resolves its target services.
+func (c *compiledMesh) addRoute(m *manifest.Manifest, v manifest.Route, raw []byte) error {
 	r := &Route{Route: v, Mesh: m.Mesh, Limits: m.Limits, hosts: m.HostsOf(&v), raw: raw}
 	shares := v.Split
 	if len(shares) == 0 {
 		shares = []manifest.Share{{Service: v.Service, Weight: 1}}
 	}
 	for _, share := range shares {
-		service, ok := p.services[ServiceKey{Mesh: m.Mesh, Name: share.Service}]
+		service, ok := c.services[ServiceKey{Mesh: m.Mesh, Name: share.Service}]
 		if !ok {
 			return errors.Newf("no service %s", share.Service)
 		}
 		if share.Weight < 0 {
-			return errors.Newf("weight %d of service %s", share.Weight, share.Service)
+			return errors.Newf("negative weight %d of service %s", share.Weight, share.Service)
 		}
 		r.Targets = append(r.Targets, Target{Service: service, Weight: uint64(share.Weight)})
 		r.Weight += uint64(share.Weight)
@@ -263,16 +264,16 @@
 	if r.Weight == 0 {
 		return errors.New("no weight above 0")
 	}
-	p.routes = append(p.routes, r)
+	c.routes = append(c.routes, r)
 	return nil
 }
 
-func (s *Snapshot) add(mesh string, p *part) {
-	s.parts[mesh] = p
-	maps.Copy(s.services, p.services)
-	for _, r := range p.routes {
+func (s *Snapshot) add(mesh string, c *compiledMesh) {
+	s.meshes[mesh] = c
+	maps.Copy(s.services, c.services)
+	for _, r := range c.routes {
 		for _, host := range r.hosts {
-			s.addRoute(cleanHost(host), r)
+			s.addRoute(normalizeHost(host), r)
 		}
 	}
 }
@@ -280,16 +281,16 @@
 func (s *Snapshot) addRoute(host string, r *Route) {
 	t := s.hosts[host]
 	if t == nil {
-		t = &table{routes: map[string][]*Route{}}
+		t = &routeTable{routes: map[string][]*Route{}}
 		s.hosts[host] = t
 	}
 	t.add(r)
 }
 
-// Service returns a service, or nil.
+// Service returns a service, or nil if there is none.
 func (s *Snapshot) Service(k ServiceKey) *Service { return s.services[k] }
 
-// Services returns every service in no order.
+// Services returns all services in unspecified order.
 func (s *Snapshot) Services() []*Service {
 	list := make([]*Service, 0, len(s.services))
 	for _, v := range s.services {
@@ -298,11 +299,11 @@
 	return list
 }
 
-// LongestTimeout is the longest that a route to a service lets a request take.
+// LongestTimeout returns the longest timeout of all routes to a service.
 func (s *Snapshot) LongestTimeout(k ServiceKey) time.Duration {
 	var longest time.Duration
-	for _, p := range s.parts {
-		for _, r := range p.routes {
+	for _, c := range s.meshes {
+		for _, r := range c.routes {
 			if slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service.Key == k }) {
 				longest = max(longest, r.Timeout)
 			}
