--- a/internal/version/directory/builder.go
+++ b/internal/version/directory/builder.go
@@ -11,38 +11,40 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Builder keeps what a Directory is made of and takes in one change at a time:
-// the cost of a change grows with the servers of the services that it touches,
-// not with the fleet. It is not safe for concurrent use.
+// Builder builds directories incrementally: the cost of a change depends on the
+// number of servers of the affected services, not on the size of the fleet. It is
+// not safe for concurrent use.
 type Builder struct {
 	snapshot   *snapshot.Snapshot
 	candidates map[snapshot.ServiceKey][]*Candidate
-	// own marks the slices of candidates that no Directory shares yet.
-	own map[snapshot.ServiceKey]bool
-	// suspecting are the records with suspects, by name of the owner.
-	suspecting map[string]*presence.Record
-	// suspects is their union; nil when it must be made anew.
+	// unshared marks the slices of candidates that no Directory uses yet, which may be
+	// modified in place.
+	unshared map[snapshot.ServiceKey]bool
+	// suspectRecords are the records with suspects, by name of their daemon.
+	suspectRecords map[string]*presence.Record
+	// suspects is the union of the suspects of suspectRecords; nil if it is out of date.
 	suspects map[uint64]presence.Suspect
 }
 
-// NewBuilder returns a builder for a version and the records that count.
+// NewBuilder returns a builder for a configuration version and the presence records
+// of live daemons.
 func NewBuilder(snap *snapshot.Snapshot, records []*presence.Record) *Builder {
-	b := &Builder{suspecting: map[string]*presence.Record{}}
+	b := &Builder{suspectRecords: map[string]*presence.Record{}}
 	b.Reset(snap, records)
 	return b
 }
 
-// Reset begins anew, with another version.
+// Reset rebuilds the candidates for another configuration version.
 func (b *Builder) Reset(snap *snapshot.Snapshot, records []*presence.Record) {
 	b.snapshot = snap
 	b.candidates = map[snapshot.ServiceKey][]*Candidate{}
-	b.own = map[snapshot.ServiceKey]bool{}
+	b.unshared = map[snapshot.ServiceKey]bool{}
 	for _, r := range records {
 		b.Apply(&presence.Change{New: r})
 	}
 }
 
-// Apply takes in one change.
+// Apply applies one change of a presence record.
 func (b *Builder) Apply(change *presence.Change) {
 	if change.Old != nil {
 		b.remove(change.Old)
@@ -54,33 +56,33 @@
 
 func (b *Builder) remove(r *presence.Record) {
 	if len(r.Suspects) > 0 {
-		delete(b.suspecting, r.Node.Name)
+		delete(b.suspectRecords, r.Node.Name)
 		b.suspects = nil
 	}
-	b.each(r, func(key snapshot.ServiceKey, server *presence.Server) {
+	b.eachEligible(r, func(key snapshot.ServiceKey, server *presence.Server) {
 		list := b.writable(key)
-		if i, found := slices.BinarySearchFunc(list, candidate(r, server), order); found {
-			b.store(key, slices.Delete(list, i, i+1))
+		if i, found := slices.BinarySearchFunc(list, newCandidate(r, server), compareCandidates); found {
+			b.setCandidates(key, slices.Delete(list, i, i+1))
 		}
 	})
 }
 
 func (b *Builder) insert(r *presence.Record) {
 	if len(r.Suspects) > 0 {
-		b.suspecting[r.Node.Name] = r
+		b.suspectRecords[r.Node.Name] = r
 		b.suspects = nil
 	}
-	b.each(r, func(key snapshot.ServiceKey, server *presence.Server) {
+	b.eachEligible(r, func(key snapshot.ServiceKey, server *presence.Server) {
 		list := b.writable(key)
-		c := candidate(r, server)
-		if i, found := slices.BinarySearchFunc(list, c, order); !found {
-			b.store(key, slices.Insert(list, i, c))
+		c := newCandidate(r, server)
+		if i, found := slices.BinarySearchFunc(list, c, compareCandidates); !found {
+			b.setCandidates(key, slices.Insert(list, i, c))
 		}
 	})
 }
 
-// each calls f for every server of a record that may get requests.
-func (b *Builder) each(r *presence.Record, f func(snapshot.ServiceKey, *presence.Server)) {
+// eachEligible calls f for each server of a record that may receive requests.
+func (b *Builder) eachEligible(r *presence.Record, f func(snapshot.ServiceKey, *presence.Server)) {
 	if r.Leaving {
 		return
 	}
@@ -102,16 +104,16 @@
 	return err == nil && service.Allows(addr.Addr())
 }
 
-// writable returns a slice that no Directory shares.
+// writable returns the candidates of a service in a slice that no Directory shares.
 func (b *Builder) writable(key snapshot.ServiceKey) []*Candidate {
-	if !b.own[key] {
-		b.own[key] = true
+	if !b.unshared[key] {
+		b.unshared[key] = true
 		b.candidates[key] = slices.Clone(b.candidates[key])
 	}
 	return b.candidates[key]
 }
 
-func (b *Builder) store(key snapshot.ServiceKey, list []*Candidate) {
+func (b *Builder) setCandidates(key snapshot.ServiceKey, list []*Candidate) {
 	if len(list) == 0 {
 		delete(b.candidates, key)
 		return
@@ -119,20 +121,20 @@
 	b.candidates[key] = list
 }
 
-func candidate(r *presence.Record, server *presence.Server) *Candidate {
+func newCandidate(r *presence.Record, server *presence.Server) *Candidate {
 	return &Candidate{Node: r.Node, Server: *server}
 }
 
-// order sorts candidates by daemon, then by address.
-func order(a, b *Candidate) int {
+// compareCandidates orders candidates by daemon, then by address.
+func compareCandidates(a, b *Candidate) int {
 	return cmp.Or(cmp.Compare(a.Node.Name, b.Node.Name), cmp.Compare(a.Server.Addr, b.Server.Addr))
 }
 
-// Build returns the Directory as of now, with the records given.
+// Build returns the current Directory with the given records.
 func (b *Builder) Build(records []*presence.Record) *Directory {
-	clear(b.own)
+	clear(b.unshared)
 	if b.suspects == nil {
-		b.suspects = union(b.suspecting)
+		b.suspects = mergeSuspects(b.suspectRecords)
 	}
 	return &Directory{
 		Snapshot: b.snapshot, Records: records,
@@ -140,16 +142,18 @@
 	}
 }
 
-func union(suspecting map[string]*presence.Record) map[uint64]presence.Suspect {
-	all := map[uint64]presence.Suspect{}
-	for _, r := range suspecting {
+// mergeSuspects merges the suspects of all records by fingerprint: it adds up the crashes
+// and takes the latest Until.
+func mergeSuspects(records map[string]*presence.Record) map[uint64]presence.Suspect {
+	merged := map[uint64]presence.Suspect{}
+	for _, r := range records {
 		for _, s := range r.Suspects {
-			known := all[s.Fingerprint]
-			crashes := min(int(known.Crashes)+int(s.Crashes), math.MaxUint8)
-			all[s.Fingerprint] = presence.Suspect{
-				Fingerprint: s.Fingerprint, Crashes: uint8(crashes), Until: max(known.Until, s.Until),
+			old := merged[s.Fingerprint]
+			crashes := min(int(old.Crashes)+int(s.Crashes), math.MaxUint8)
+			merged[s.Fingerprint] = presence.Suspect{
+				Fingerprint: s.Fingerprint, Crashes: uint8(crashes), Until: max(old.Until, s.Until),
 			}
 		}
 	}
-	return all
+	return merged
 }
--- a/internal/version/directory/builder_test.go
+++ b/internal/version/directory/builder_test.go
@@ -17,7 +17,7 @@
 
 const services = 400
 
-func compiled(tb testing.TB) *snapshot.Snapshot {
+func compiledSnapshot(tb testing.TB) *snapshot.Snapshot {
 	m := &manifest.Manifest{Mesh: "mesh", Version: 1}
 	for i := range services {
 		m.Services = append(m.Services, manifest.Service{Name: serviceName(i)})
@@ -41,36 +41,36 @@
 	}
 }
 
-// TestBuilder compares a builder that took in changes with one that begins from
-// their outcome; directories made before keep what they had.
+// TestBuilder applies random changes to a builder and compares it with a new builder for
+// the resulting records. A directory that was built earlier must not change.
 func TestBuilder(t *testing.T) {
 	c := qt.New(t)
-	snap := compiled(t)
+	snap := compiledSnapshot(t)
 	r := rand.New(rand.NewPCG(1, 1))
-	now := make([]*presence.Record, 50)
+	current := make([]*presence.Record, 50)
 	b := directory.NewBuilder(snap, nil)
-	var first *directory.Directory
-	var firstSeen string
+	var earlier *directory.Directory
+	var earlierNodes string
 	for step := range 500 {
-		i := r.IntN(len(now))
+		i := r.IntN(len(current))
 		next := record(i, presence.ServerState(r.IntN(4)))
 		next.Leaving = r.IntN(5) == 0
 		if r.IntN(4) == 0 {
 			next = nil
 		}
-		b.Apply(&presence.Change{Old: now[i], New: next})
-		now[i] = next
-		got, want := seen(b.Build(nil)), seen(directory.NewBuilder(snap, alive(now)).Build(nil))
+		b.Apply(&presence.Change{Old: current[i], New: next})
+		current[i] = next
+		got, want := candidateNodes(b.Build(nil)), candidateNodes(directory.NewBuilder(snap, nonNil(current)).Build(nil))
 		c.Assert(got, qt.Equals, want, qt.Commentf("step %d", step))
 		if step == 250 {
-			first = b.Build(nil)
-			firstSeen = seen(first)
+			earlier = b.Build(nil)
+			earlierNodes = candidateNodes(earlier)
 		}
 	}
-	c.Assert(seen(first), qt.Equals, firstSeen)
+	c.Assert(candidateNodes(earlier), qt.Equals, earlierNodes)
 }
 
-func alive(records []*presence.Record) []*presence.Record {
+func nonNil(records []*presence.Record) []*presence.Record {
 	var list []*presence.Record
 	for _, r := range records {
 		if r != nil {
@@ -80,7 +80,8 @@
 	return list
 }
 
-func seen(d *directory.Directory) string {
+// candidateNodes returns the node names of all candidates, in order of the services.
+func candidateNodes(d *directory.Directory) string {
 	var text string
 	for i := range services {
 		for _, candidate := range d.Candidates(snapshot.ServiceKey{Mesh: "mesh", Name: serviceName(i)}) {
@@ -90,10 +91,10 @@
 	return text
 }
 
-// BenchmarkChange takes in one change and makes a directory; Rebuild begins
-// anew, as each change did before.
+// BenchmarkChange compares applying one change and building a directory with rebuilding
+// from all records.
 func BenchmarkChange(b *testing.B) {
-	snap := compiled(b)
+	snap := compiledSnapshot(b)
 	for _, size := range []int{100, 1000, 5000, 10000} {
 		records := make([]*presence.Record, size)
 		for i := range records {
--- a/internal/version/directory/directory.go
+++ b/internal/version/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory joins the version in force with the presence of backend
-// servers: for each service, who serves it now. A Directory is immutable; a
-// daemon swaps one pointer to it.
+// Package directory combines the configuration version in force with the presence
+// records of backend servers into a list of available backend servers per service.
+// A Directory is immutable; a daemon replaces it by swapping one pointer.
 package directory
 
 import (
@@ -9,23 +9,25 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// Candidate is a backend server that may get a request.
+// Candidate is a backend server that may be selected for a request.
 type Candidate struct {
-	// Node is the daemon beside the server.
+	// Node is the daemon that the server is announced to.
 	Node   view.Node
 	Server presence.Server
 }
 
-// Directory is who serves what, at one version and one state of presence.
+// Directory lists the available backend servers of each service, for one
+// configuration version and one set of presence records.
 type Directory struct {
 	Snapshot *snapshot.Snapshot
-	// Records are the records that count, in no order; they must not be changed.
+	// Records are the presence records of live daemons, in unspecified order. They
+	// must not be modified.
 	Records    []*presence.Record
 	candidates map[snapshot.ServiceKey][]*Candidate
 	suspects   map[uint64]presence.Suspect
 }
 
-// Build makes the directory of a version and records.
+// Build returns the directory for a configuration version and presence records.
 func Build(snap *snapshot.Snapshot, records []presence.Record) *Directory {
 	pointers := make([]*presence.Record, len(records))
 	for i := range records {
@@ -34,25 +36,25 @@
 	return NewBuilder(snap, pointers).Build(pointers)
 }
 
-// Suspect returns what the whole fleet knows of a request: the crashes that all
-// daemons saw, added up, and the latest end. The caller compares Until with its
-// clock.
+// Suspect returns the entry of a request that was in progress when backend servers
+// crashed, merged from all daemons: the sum of the crashes and the latest Until. The
+// caller must compare Until with its clock.
 func (d *Directory) Suspect(fingerprint uint64) (presence.Suspect, bool) {
-	s, known := d.suspects[fingerprint]
-	return s, known
+	s, found := d.suspects[fingerprint]
+	return s, found
 }
 
-// Servers returns how many backend servers each service of a mesh has.
+// Servers returns the number of available backend servers per service of a mesh.
 func (d *Directory) Servers(mesh string) map[string]int {
-	servers := map[string]int{}
+	counts := map[string]int{}
 	for key, list := range d.candidates {
 		if key.Mesh == mesh {
-			servers[key.Name] = len(list)
+			counts[key.Name] = len(list)
 		}
 	}
-	return servers
+	return counts
 }
 
-// Candidates returns the backend servers of a service, by daemon and address;
-// the slice is shared and must not be changed.
+// Candidates returns the available backend servers of a service, sorted by daemon
+// and address. The slice is shared and must not be modified.
 func (d *Directory) Candidates(k snapshot.ServiceKey) []*Candidate { return d.candidates[k] }
--- a/internal/version/directory/suspect_test.go
+++ b/internal/version/directory/suspect_test.go
@@ -12,7 +12,8 @@
 	"github.com/daisygate/daisygate/internal/version/snapshot"
 )
 
-// TestSuspectUnion adds up what two daemons tell of one request.
+// TestSuspectUnion checks that the suspects of two daemons are merged, and that a record
+// carries at most MaxSuspects, those with the latest Until.
 func TestSuspectUnion(t *testing.T) {
 	c := qt.New(t)
 	snap, err := snapshot.Compile(fleet.Empty())
@@ -22,11 +23,11 @@
 	a.SetSuspects([]presence.Suspect{{Fingerprint: 7, Crashes: 1, Until: 10}})
 	b.SetSuspects([]presence.Suspect{{Fingerprint: 7, Crashes: 1, Until: 30}, {Fingerprint: 8, Crashes: 1, Until: 5}})
 	d := directory.Build(snap, append(a.Records(), b.Records()...))
-	got, known := d.Suspect(7)
-	c.Assert(known, qt.IsTrue)
+	got, found := d.Suspect(7)
+	c.Assert(found, qt.IsTrue)
 	c.Assert(got, qt.Equals, presence.Suspect{Fingerprint: 7, Crashes: 2, Until: 30})
-	_, known = d.Suspect(9)
-	c.Assert(known, qt.IsFalse)
+	_, found = d.Suspect(9)
+	c.Assert(found, qt.IsFalse)
 
 	many := make([]presence.Suspect, presence.MaxSuspects+8)
 	for i := range many {
