--- a/internal/version/diff/diff.go
+++ b/internal/version/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff compares two manifests of one mesh: which services and routes
-// were added, removed or changed, and which of their fields.
+// Package diff compares two manifests of one mesh. It reports the services and
+// routes that were added, removed or changed, and their changed fields.
 package diff
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// Kind tells what happened to a resource.
+// Kind is the kind of a change.
 type Kind string
 
 // The kinds of changes.
@@ -20,24 +20,25 @@
 	Changed Kind = "changed"
 )
 
-// Change is one resource that differs.
+// Change describes one resource that differs.
 type Change struct {
 	Kind Kind `json:"kind"`
 	// Resource is "mesh", "service" or "route".
 	Resource string `json:"resource"`
 	Name     string `json:"name"`
-	// Fields lists what differs in a changed resource.
+	// Fields lists the fields that differ, if Kind is Changed.
 	Fields []Field `json:"fields,omitempty"`
 }
 
-// Field is one differing field, by its key in the manifest.
+// Field is one field that differs.
 type Field struct {
+	// Key is the field's key in the manifest.
 	Key  string `json:"key"`
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// String returns the change as one line, with +, - or ~ first.
+// String returns the change as one line that starts with +, - or ~.
 func (c Change) String() string {
 	sign := map[Kind]string{Added: "+", Removed: "-", Changed: "~"}[c.Kind]
 	line := fmt.Sprintf("%s %s %s", sign, c.Resource, c.Name)
@@ -51,19 +52,21 @@
 	return line + ": " + strings.Join(fields, ", ")
 }
 
-// Compare lists what turns from into to, in the order of the manifests. The
-// version numbers are not compared.
+// Compare returns the changes between two manifests: changes of the mesh, then of
+// services, then of routes. Added and changed resources are in the order of to,
+// followed by removed ones in the order of from. Version numbers are not compared.
 func Compare(from, to *manifest.Manifest) []Change {
 	var changes []Change
-	if fields := compareFields(mesh{from.Hosts, from.Limits}, mesh{to.Hosts, to.Limits}); len(fields) > 0 {
+	if fields := compareFields(meshFields{from.Hosts, from.Limits}, meshFields{to.Hosts, to.Limits}); len(fields) > 0 {
 		changes = append(changes, Change{Kind: Changed, Resource: "mesh", Name: to.Mesh, Fields: fields})
 	}
 	changes = append(changes, compareLists("service", from.Services, to.Services, func(s manifest.Service) string { return s.Name })...)
 	return append(changes, compareLists("route", from.Routes, to.Routes, func(r manifest.Route) string { return r.Name })...)
 }
 
-// mesh is what a manifest has besides its services and routes.
-type mesh struct {
+// meshFields holds the compared fields of a manifest other than its services and
+// routes.
+type meshFields struct {
 	Hosts  []string        `yaml:"hosts"`
 	Limits manifest.Limits `yaml:"limits"`
 }
@@ -76,9 +79,9 @@
 	}
 	kept := map[string]bool{}
 	for _, v := range to {
-		before, known := old[name(v)]
-		kept[name(v)] = known
-		if !known {
+		before, exists := old[name(v)]
+		kept[name(v)] = exists
+		if !exists {
 			changes = append(changes, Change{Kind: Added, Resource: resource, Name: name(v)})
 			continue
 		}
@@ -94,13 +97,13 @@
 	return changes
 }
 
-// compareFields compares two structs of one type by their yaml keys. A nil and
-// an empty list are the same.
+// compareFields returns the fields that differ between two structs of the same type.
+// A nil and an empty list are equal.
 func compareFields(from, to any) []Field {
 	var fields []Field
 	a, b := reflect.ValueOf(from), reflect.ValueOf(to)
 	for i := range a.NumField() {
-		x, y := text(a.Field(i)), text(b.Field(i))
+		x, y := formatValue(a.Field(i)), formatValue(b.Field(i))
 		if x == y {
 			continue
 		}
@@ -110,8 +113,8 @@
 	return fields
 }
 
-// text renders a field's value; "none" is a pointer to nothing.
-func text(v reflect.Value) string {
+// formatValue formats the value of a field; "none" represents a nil pointer.
+func formatValue(v reflect.Value) string {
 	for v.Kind() == reflect.Pointer {
 		if v.IsNil() {
 			return "none"
