--- a/internal/result/http.go
+++ b/internal/result/http.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The headers by which every answer carries its result.
+// The headers that carry the result of every response.
 const (
-	// HeaderResult holds the number of the code.
+	// HeaderResult holds the numeric code.
 	HeaderResult = "Daisygate-Result"
 	// HeaderOutcome holds "run", "not-run" or "unknown".
 	HeaderOutcome = "Daisygate-Outcome"
 )
 
-// body is the JSON body of an error answer.
-type body struct {
+// errorBody is the JSON body of an error response.
+type errorBody struct {
 	Code    Code   `json:"code"`
 	Name    string `json:"name"`
 	Outcome string `json:"outcome"`
@@ -26,38 +26,40 @@
 	RetryAfter int `json:"retry_after,omitempty"`
 }
 
-// WriteHTTP answers with a refusal or failure, as JSON.
+// WriteHTTP writes an error response with a JSON body.
 func WriteHTTP(w http.ResponseWriter, e *Error) { WriteHTTPRetry(w, e, 0) }
 
-// WriteHTTPRetry is WriteHTTP that also tells when to come back.
-func WriteHTTPRetry(w http.ResponseWriter, e *Error, after time.Duration) {
-	WriteHTTPOutcome(w, e, after, e.Code.Outcome())
+// WriteHTTPRetry writes an error response as WriteHTTP does. If retryAfter is positive,
+// it is rounded up to seconds and sent as Retry-After.
+func WriteHTTPRetry(w http.ResponseWriter, e *Error, retryAfter time.Duration) {
+	WriteHTTPOutcome(w, e, retryAfter, e.Code.Outcome())
 }
 
-// WriteHTTPOutcome is WriteHTTPRetry for a request of which less is known than
-// the code tells of this sending of it.
-func WriteHTTPOutcome(w http.ResponseWriter, e *Error, after time.Duration, known Outcome) {
-	b := body{Code: e.Code, Name: table[e.Code].name, Outcome: known.String(), Detail: e.Detail}
+// WriteHTTPOutcome writes an error response as WriteHTTPRetry does, with an explicit
+// outcome. It is used for requests that may have been sent more than once, where the
+// overall outcome is less certain than the code implies for this transmission.
+func WriteHTTPOutcome(w http.ResponseWriter, e *Error, retryAfter time.Duration, outcome Outcome) {
+	body := errorBody{Code: e.Code, Name: codeTable[e.Code].name, Outcome: outcome.String(), Detail: e.Detail}
 	h := w.Header()
-	if after > 0 {
-		b.RetryAfter = int(math.Ceil(after.Seconds()))
-		h.Set("Retry-After", strconv.Itoa(b.RetryAfter))
+	if retryAfter > 0 {
+		body.RetryAfter = int(math.Ceil(retryAfter.Seconds()))
+		h.Set("Retry-After", strconv.Itoa(body.RetryAfter))
 	}
 	h.Set("Content-Type", "application/json")
 	SetHeaders(h, e.Code)
-	h.Set(HeaderOutcome, known.String())
+	h.Set(HeaderOutcome, outcome.String())
 	w.WriteHeader(e.Code.HTTPStatus())
-	_ = json.NewEncoder(w).Encode(b)
+	_ = json.NewEncoder(w).Encode(body)
 }
 
-// SetHeaders puts code and outcome into h.
+// SetHeaders sets the headers for a code and its outcome in h.
 func SetHeaders(h http.Header, c Code) {
 	h.Set(HeaderResult, strconv.Itoa(int(c)))
 	h.Set(HeaderOutcome, c.Outcome().String())
 }
 
-// Refuse answers every request with one code, for a router's unknown paths and
-// methods.
+// Refuse returns a handler that responds to every request with the given code, for
+// unknown paths and methods of a router.
 func Refuse(code Code) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		WriteHTTP(w, Errorf(code, "%s %s", r.Method, r.URL.Path))
--- a/internal/result/response.go
+++ b/internal/result/response.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Response is a whole HTTP/1.1 answer with the given status, after which the
-// connection closes; for what answers outside an http.Handler.
-func Response(e *Error, status int, after time.Duration) []byte {
+// Response returns a complete HTTP/1.1 response with the given status, which closes the
+// connection. It is for code that writes responses outside an http.Handler.
+func Response(e *Error, status int, retryAfter time.Duration) []byte {
 	recorder := newRecorder()
-	WriteHTTPRetry(recorder, e, after)
+	WriteHTTPRetry(recorder, e, retryAfter)
 	resp := &http.Response{
 		ProtoMajor: 1, ProtoMinor: 1, StatusCode: status, Header: recorder.header, Close: true,
 		Body: io.NopCloser(&recorder.body), ContentLength: int64(recorder.body.Len()),
@@ -21,20 +21,21 @@
 	return out.Bytes()
 }
 
-// recorder is the http.ResponseWriter of Response.
-type recorder struct {
+// responseRecorder is an http.ResponseWriter that records the header and body of a
+// response for Response.
+type responseRecorder struct {
 	header http.Header
 	body   bytes.Buffer
 }
 
-func newRecorder() *recorder { return &recorder{header: http.Header{}} }
+func newRecorder() *responseRecorder { return &responseRecorder{header: http.Header{}} }
 
 // Header implements http.ResponseWriter.
-func (r *recorder) Header() http.Header { return r.header }
+func (r *responseRecorder) Header() http.Header { return r.header }
 
-// WriteHeader implements http.ResponseWriter; the caller of Response chose the
-// status.
-func (r *recorder) WriteHeader(int) {}
+// WriteHeader implements http.ResponseWriter. It ignores the status, which is a parameter
+// of Response.
+func (r *responseRecorder) WriteHeader(int) {}
 
 // Write implements http.ResponseWriter.
-func (r *recorder) Write(p []byte) (int, error) { return r.body.Write(p) }
+func (r *responseRecorder) Write(p []byte) (int, error) { return r.body.Write(p) }
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,9 +1,9 @@
-// Package result defines the numbered result codes that every answer of
-// daisygate carries, and what each says about the request: whether it was run
-// on a backend server, was certainly not run, or may have been run.
+// Package result defines the numbered result codes that every response of
+// daisygate carries, and the outcome that each implies for the request: it ran on
+// a backend server, it certainly did not run, or it may have run.
 //
-// docs/RESULT-CODES.md is the table for people on call; a test holds the table
-// and this package equal. A code, once published, keeps its number and meaning.
+// docs/RESULT-CODES.md documents the codes for on-call engineers; a test checks that
+// it matches this package. A published code never changes its number or meaning.
 package result
 
 import (
@@ -11,21 +11,21 @@
 	"net/http"
 )
 
-// Code is a numbered result. The hundreds digit names the area: 0xx success,
-// 1xx intent (operators), 2xx calls (callers), 3xx daemons among themselves,
-// 4xx backend server announcements, 5xx the command line.
+// Code is a numbered result. The hundreds digit is the area: 0xx success, 1xx
+// configuration (operators), 2xx requests (callers), 3xx communication between
+// daemons, 4xx backend server announcements, 5xx the command line.
 type Code uint16
 
-// Outcome says what is known about the execution of a request.
+// Outcome is what is known about the execution of a request.
 type Outcome uint8
 
-// The three outcomes a caller may be told.
+// The outcomes of a request.
 const (
-	// Unknown means the request may or may not have been run.
+	// Unknown means that the request may have run.
 	Unknown Outcome = iota
-	// NotRun means the request certainly did not run on any backend server.
+	// NotRun means that the request certainly did not run on any backend server.
 	NotRun
-	// Run means a backend server ran the request and its answer is complete.
+	// Run means that a backend server ran the request and its response is complete.
 	Run
 )
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// ParseOutcome reads the wire form; anything unrecognised is Unknown, because
-// that claims the least.
+// ParseOutcome parses the wire form of an outcome. Any other text is Unknown, the
+// outcome that makes no claim.
 func ParseOutcome(s string) Outcome {
 	switch s {
 	case "not-run":
@@ -69,7 +69,7 @@
 	RevisionStale   Code = 115
 	RolloutInvalid  Code = 116
 	RolloutRunning  Code = 117
-	// RolloutUnsettled: the serving version of a service is not known yet.
+	// RolloutUnsettled means that the serving version of a service is not known yet.
 	RolloutUnsettled Code = 118
 	NoQuorum         Code = 120
 	CommitUnknown    Code = 121
@@ -130,14 +130,14 @@
 	RolledBack  Code = 504
 )
 
-type entry struct {
+type codeInfo struct {
 	name    string
 	outcome Outcome
 	http    int
 	meaning string
 }
 
-var table = map[Code]entry{
+var codeTable = map[Code]codeInfo{
 	OK:               {"OK", Run, http.StatusOK, "A backend server ran the request; the answer is its own."},
 	Accepted:         {"Accepted", Run, http.StatusOK, "The manifest was committed by a majority of sources."},
 	AlreadyAccepted:  {"AlreadyAccepted", Run, http.StatusOK, "The same version with the same content was accepted before; this is the first answer again."},
@@ -206,38 +206,38 @@
 	NotControl:         {"NotControl", NotRun, http.StatusBadRequest, "The connection is neither a daemon's control connection nor a call that a daemon passed on."},
 }
 
-// Codes returns every defined code with its name and meaning, in no order.
+// Codes returns the names of all defined codes.
 func Codes() map[Code]string {
-	names := make(map[Code]string, len(table))
-	for code, e := range table {
-		names[code] = e.name
+	names := make(map[Code]string, len(codeTable))
+	for code, info := range codeTable {
+		names[code] = info.name
 	}
 	return names
 }
 
 // String returns number and name, such as "212 Overloaded".
 func (c Code) String() string {
-	if e, ok := table[c]; ok {
-		return fmt.Sprintf("%03d %s", uint16(c), e.name)
+	if info, ok := codeTable[c]; ok {
+		return fmt.Sprintf("%03d %s", uint16(c), info.name)
 	}
 	return fmt.Sprintf("%03d", uint16(c))
 }
 
-// Outcome says what the code tells about the execution of the request.
-func (c Code) Outcome() Outcome { return table[c].outcome }
+// Outcome returns the outcome that the code implies for the request.
+func (c Code) Outcome() Outcome { return codeTable[c].outcome }
 
-// HTTPStatus is the status under which the code is sent over HTTP.
+// HTTPStatus returns the HTTP status of a response with the code.
 func (c Code) HTTPStatus() int {
-	if e, ok := table[c]; ok {
-		return e.http
+	if info, ok := codeTable[c]; ok {
+		return info.http
 	}
 	return http.StatusInternalServerError
 }
 
-// Meaning is the one-sentence explanation printed in docs/RESULT-CODES.md.
-func (c Code) Meaning() string { return table[c].meaning }
+// Meaning returns the explanation of the code in docs/RESULT-CODES.md.
+func (c Code) Meaning() string { return codeTable[c].meaning }
 
-// Error is a result code with the detail that explains this occurrence.
+// Error is a result code with details of this occurrence.
 type Error struct {
 	Code   Code
 	Detail string
@@ -246,7 +246,7 @@
 // Error implements the error interface.
 func (e *Error) Error() string { return e.Code.String() + ": " + e.Detail }
 
-// Errorf builds an *Error.
+// Errorf returns an *Error with a formatted detail.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/result/table_test.go
+++ b/internal/result/table_test.go
@@ -12,9 +12,9 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// documented returns the rows of the tables in docs/RESULT-CODES.md whose first
-// cell has the given width, each as its cells.
-func documented(c *qt.C, width int) map[string][]string {
+// documentedRows returns the cells of the table rows in docs/RESULT-CODES.md whose first
+// cell has the given width, keyed by the first cell.
+func documentedRows(c *qt.C, width int) map[string][]string {
 	raw, err := os.ReadFile("../../docs/RESULT-CODES.md")
 	c.Assert(err, qt.IsNil)
 	rows := map[string][]string{}
@@ -25,16 +25,17 @@
 		}
 		cells[0] = strings.TrimPrefix(cells[0], "| ")
 		cells[len(cells)-1] = strings.TrimSuffix(cells[len(cells)-1], " |")
-		c.Assert(rows[cells[0]], qt.IsNil, qt.Commentf("%s stands twice", cells[0]))
+		c.Assert(rows[cells[0]], qt.IsNil, qt.Commentf("%s is listed twice", cells[0]))
 		rows[cells[0]] = cells
 	}
 	return rows
 }
 
-// TestTableOfResultCodes holds docs/RESULT-CODES.md equal to the code.
+// TestTableOfResultCodes compares the result codes in docs/RESULT-CODES.md with those in
+// this package.
 func TestTableOfResultCodes(t *testing.T) {
 	c := qt.New(t)
-	rows := documented(c, 3)
+	rows := documentedRows(c, 3)
 	codes := result.Codes()
 	for code, name := range codes {
 		number := fmt.Sprintf("%03d", uint16(code))
@@ -45,23 +46,24 @@
 		}
 		want := []string{number, name, code.Outcome().String(), fmt.Sprint(code.HTTPStatus()), code.Meaning()}
 		c.Check(row[:5], qt.DeepEquals, want)
-		c.Check(strings.HasSuffix(row[5], "."), qt.IsTrue, qt.Commentf("%s: what to do", number))
+		c.Check(strings.HasSuffix(row[5], "."), qt.IsTrue, qt.Commentf("%s: the last column must end with a period", number))
 	}
 	c.Check(rows, qt.HasLen, len(codes))
 }
 
-// TestTableOfExitCodes holds the exit codes there equal to the command line's.
+// TestTableOfExitCodes compares the exit codes in docs/RESULT-CODES.md with those of the
+// command line.
 func TestTableOfExitCodes(t *testing.T) {
 	c := qt.New(t)
-	rows := documented(c, 1)
+	rows := documentedRows(c, 1)
 	for _, e := range cli.ExitCodes {
 		c.Check(rows[fmt.Sprint(e.Code)], qt.DeepEquals, []string{fmt.Sprint(e.Code), e.Name, e.Meaning})
 	}
 	c.Check(rows, qt.HasLen, len(cli.ExitCodes))
 }
 
-// TestOutcomesOnTheWire holds that the outcome survives its header, and that
-// what is not understood claims the least.
+// TestOutcomesOnTheWire checks that outcomes survive encoding and parsing, and that
+// unknown texts are parsed as Unknown.
 func TestOutcomesOnTheWire(t *testing.T) {
 	c := qt.New(t)
 	for _, o := range []result.Outcome{result.Run, result.NotRun, result.Unknown} {
