--- a/internal/strictyaml/check.go
+++ b/internal/strictyaml/check.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// maxNameLength is the most bytes of a name.
+// maxNameLength is the maximum length of a name in bytes.
 const maxNameLength = 63
 
-// nameFormat is what a name may look like: names stand in metrics, headers and
-// file names, where nothing else needs escaping.
+// nameFormat matches valid names. Names are used in metrics, headers and file names,
+// where these characters need no escaping.
 var nameFormat = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]*[A-Za-z0-9])?$`)
 
-// Required reports a value that is missing or empty.
+// Required adds a fault if value is empty, and reports whether it is not.
 func (d *Document) Required(key, value string) bool {
 	if value == "" {
 		d.Add(key, "is required")
@@ -24,7 +24,7 @@
 	return value != ""
 }
 
-// Name checks a required name.
+// Name adds a fault if value is not a valid name, and reports whether it is.
 func (d *Document) Name(key, value string) bool {
 	if !d.Required(key, value) {
 		return false
@@ -40,20 +40,20 @@
 	return true
 }
 
-// AddrPort checks a required "ip:port". The address is invalid if there was a
-// fault.
+// AddrPort parses a required "ip:port". If that fails, it adds a fault and returns an
+// invalid AddrPort.
 func (d *Document) AddrPort(key, value string) netip.AddrPort {
 	if !d.Required(key, value) {
 		return netip.AddrPort{}
 	}
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
-		d.Add(key, "want an IP number and a port such as 127.0.0.1:7000 (no host names), got %q", abridge(value))
+		d.Add(key, "want an IP number and a port such as 127.0.0.1:7000 (no host names), got %q", truncate(value))
 	}
 	return addr
 }
 
-// Prefix checks an address prefix.
+// Prefix checks that value is an address prefix without host bits.
 func (d *Document) Prefix(key, value string) {
 	prefix, err := netip.ParsePrefix(value)
 	if err == nil {
@@ -66,66 +66,67 @@
 		d.Add(key, "want an address prefix; did you mean %q?", netip.PrefixFrom(addr, addr.BitLen()))
 		return
 	}
-	d.Add(key, "want an address prefix such as 10.1.0.0/16, got %q", abridge(value))
+	d.Add(key, "want an address prefix such as 10.1.0.0/16, got %q", truncate(value))
 }
 
-// OneOf checks that a value is one of those known.
+// OneOf checks that value is one of the known values.
 func (d *Document) OneOf(key, value string, known ...string) {
 	if !slices.Contains(known, value) {
-		d.Add(key, "%q is unknown; %s", abridge(value), Suggest(value, known))
+		d.Add(key, "%q is unknown; %s", truncate(value), Suggest(value, known))
 	}
 }
 
-// Reference checks that a required value names something that is there. What
-// says what it names.
-func (d *Document) Reference(key, value, what string, known []string) {
+// Reference checks that a required value is one of the known names. kind is the kind
+// of object that it refers to, for the message.
+func (d *Document) Reference(key, value, kind string, known []string) {
 	if d.Required(key, value) && !slices.Contains(known, value) {
-		d.Add(key, "no %s %q; %s", what, abridge(value), or(Suggest(value, known), "there is none"))
+		d.Add(key, "no %s %q; %s", kind, truncate(value), orDefault(Suggest(value, known), "none is defined"))
 	}
 }
 
-// Range checks that a number is within low and high, both included.
+// Range checks that value is between low and high, inclusive.
 func Range[T cmp.Ordered](d *Document, key string, value, low, high T) {
 	if value < low || value > high {
 		d.Add(key, "want %v to %v, got %v", low, high, value)
 	}
 }
 
-// Count checks the length of a list.
-func (d *Document) Count(key string, n, most int) {
-	if n > most {
-		d.Add(key, "has %d entries, want at most %d", n, most)
+// Count checks that a list has at most limit entries.
+func (d *Document) Count(key string, n, limit int) {
+	if n > limit {
+		d.Add(key, "has %d entries, want at most %d", n, limit)
 	}
 }
 
-// Unique finds values that stand twice. The zero value is ready to use.
-type Unique struct{ first map[string]string }
+// Unique finds duplicate values. The zero value is ready to use.
+type Unique struct{ firstKeys map[string]string }
 
-// Check reports value, at key, if it was seen at another key. An empty value is
-// not looked at.
+// Check adds a fault if value was already checked at another key. Empty values are
+// ignored.
 func (u *Unique) Check(d *Document, key, value string) {
 	if value == "" {
 		return
 	}
-	if first, seen := u.first[value]; seen {
-		d.Add(key, "%q is already used at %s%s", abridge(value), first, d.InLine(first))
+	if first, seen := u.firstKeys[value]; seen {
+		d.Add(key, "%q is already used at %s%s", truncate(value), first, d.LineSuffix(first))
 		return
 	}
-	if u.first == nil {
-		u.first = map[string]string{}
+	if u.firstKeys == nil {
+		u.firstKeys = map[string]string{}
 	}
-	u.first[value] = key
+	u.firstKeys[value] = key
 }
 
-// InLine returns " in line n" for a key of the text, to append to a message.
-func (d *Document) InLine(key string) string {
-	if p, ok := d.places[key]; ok {
+// LineSuffix returns " in line n" for a key of the text, to append to a message, or ""
+// for any other key.
+func (d *Document) LineSuffix(key string) string {
+	if p, ok := d.positions[key]; ok {
 		return fmt.Sprintf(" in line %d", p.line)
 	}
 	return ""
 }
 
-// Duration checks that a duration is within low and high, both included.
+// Duration checks that value is between low and high, inclusive.
 func (d *Document) Duration(key string, value, low, high time.Duration) {
 	Range(d, key, value, low, high)
 }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -9,26 +9,27 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Defaulter is a struct that sets its documented defaults before the keys of
-// the text are read into it.
+// Defaulter is implemented by structs with default values.
 type Defaulter interface {
+	// SetDefaults sets the documented defaults. It is called before the keys of the
+	// text are decoded into the struct.
 	SetDefaults()
 }
 
-// byteOrderMark may begin a text; some editors write it.
+// byteOrderMark may precede the text, because some editors write it.
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// Decode reads raw into the struct that into points to. Keys are the names in
-// the "yaml" tags; a key that the text lacks keeps its default. Fields may be
-// strings, booleans, numbers, time.Duration, structs, and slices of these.
+// Decode decodes raw into the struct that into points to. Keys are the names in the
+// "yaml" tags; a missing key keeps its default. Fields may be strings, booleans,
+// numbers, time.Duration, structs, and slices of these.
 //
-// Text of more than limit bytes is refused unread. Faults are gathered in the
-// Document, to which the caller adds those of its own checks.
+// Text of more than limit bytes is rejected without parsing. Faults are collected in
+// the returned Document, to which the caller adds the faults of its own checks.
 func Decode(raw []byte, limit int, into any) *Document {
 	d := NewDocument()
 	setDefaults(reflect.ValueOf(into))
 	if len(raw) > limit {
-		d.add(Fault{Line: 1, Column: 1, Key: "document", Message: fmt.Sprintf("has %d bytes, want at most %d", len(raw), limit)})
+		d.addFault(Fault{Line: 1, Column: 1, Key: "document", Message: fmt.Sprintf("has %d bytes, want at most %d", len(raw), limit)})
 		return d
 	}
 	if body := d.parse(bytes.TrimPrefix(raw, byteOrderMark)); body != nil {
@@ -37,9 +38,9 @@
 	return d
 }
 
-// Whole reports whether the text could be read at all; if not, checks of what
-// it holds say nothing.
-func (d *Document) Whole() bool { return len(d.places) > 0 }
+// Whole reports whether the text could be parsed. If not, checks of the decoded values
+// are meaningless.
+func (d *Document) Whole() bool { return len(d.positions) > 0 }
 
 func setDefaults(v reflect.Value) {
 	if defaulter, ok := v.Interface().(Defaulter); ok {
@@ -50,13 +51,13 @@
 func (d *Document) decode(key string, node ast.Node, into reflect.Value) {
 	switch n := node.(type) {
 	case *ast.AnchorNode, *ast.AliasNode:
-		d.fail(key, node, "anchors and aliases are not taken; write the value out")
+		d.rejectValue(key, node, "anchors and aliases are not supported; write the value out")
 		return
 	case *ast.TagNode:
-		d.fail(key, node, "tags are not taken; write the plain value")
+		d.rejectValue(key, node, "tags are not supported; write the plain value")
 		return
 	case *ast.CommentGroupNode, *ast.NullNode:
-		d.fail(key, node, "has no value; want %s, or leave the key out", want(into.Type()))
+		d.rejectValue(key, node, "has no value; want %s, or omit the key", describeType(into.Type()))
 		return
 	case *ast.MappingValueNode:
 		node = ast.Mapping(n.Start, false, n)
@@ -74,38 +75,37 @@
 func (d *Document) decodeStruct(key string, node ast.Node, into reflect.Value) {
 	mapping, ok := node.(*ast.MappingNode)
 	if !ok {
-		d.fail(key, node, "want a mapping with the keys %s", strings.Join(names(into.Type()), ", "))
+		d.rejectValue(key, node, "want a mapping with the keys %s", strings.Join(yamlKeys(into.Type()), ", "))
 		return
 	}
-	fields := fieldsOf(into)
+	fields := fieldsByKey(into)
 	for _, entry := range mapping.Values {
 		d.decodeEntry(key, entry, fields, into.Type())
 	}
 }
 
-func (d *Document) decodeEntry(key string, entry *ast.MappingValueNode, fields map[string]reflect.Value, in reflect.Type) {
+func (d *Document) decodeEntry(key string, entry *ast.MappingValueNode, fields map[string]reflect.Value, structType reflect.Type) {
 	name, ok := keyName(entry.Key)
 	if !ok {
-		d.fail(key, entry.Key, "want a plain key")
+		d.rejectValue(key, entry.Key, "want a plain key")
 		return
 	}
-	path := join(key, name)
+	path := joinKey(key, name)
 	field, known := fields[name]
 	switch {
 	case !known:
-		p := placeOfToken(entry.Key.GetToken())
-		d.add(Fault{Line: p.line, Column: p.column, Key: path, Message: "is no key here; " + Suggest(name, names(in))})
+		p := tokenPosition(entry.Key.GetToken())
+		d.addFault(Fault{Line: p.line, Column: p.column, Key: path, Message: "is no key here; " + Suggest(name, yamlKeys(structType))})
 	case d.Has(path):
-		p := placeOfToken(entry.Key.GetToken())
-		d.add(Fault{Line: p.line, Column: p.column, Key: path, Message: fmt.Sprintf("stands twice, first in line %d; keep one", d.places[path].line)})
+		p := tokenPosition(entry.Key.GetToken())
+		d.addFault(Fault{Line: p.line, Column: p.column, Key: path, Message: fmt.Sprintf("is set twice, first in line %d; keep one", d.positions[path].line)})
 	default:
-		d.mark(path, entry.Key)
+		d.setPosition(path, entry.Key)
 		d.decode(path, entry.Value, field)
 	}
 }
 
-// keyName returns the text of a mapping key; merge keys and complex keys have
-// none.
+// keyName returns the text of a mapping key, or false for merge keys and complex keys.
 func keyName(key ast.MapKeyNode) (string, bool) {
 	switch k := key.(type) {
 	case *ast.StringNode:
@@ -120,7 +120,7 @@
 func (d *Document) decodeSlice(key string, node ast.Node, into reflect.Value) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.fail(key, node, "want a list such as [%s]", example(into.Type().Elem()))
+		d.rejectValue(key, node, "want a list such as [%s]", exampleElement(into.Type().Elem()))
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(sequence.Values), len(sequence.Values)))
@@ -128,13 +128,13 @@
 		path := fmt.Sprintf("%s[%d]", key, i)
 		element := into.Index(i)
 		setDefaults(element.Addr())
-		d.mark(path, value)
+		d.setPosition(path, value)
 		d.decode(path, value, element)
 	}
 }
 
-// fieldsOf maps the yaml names of a struct's fields to the fields.
-func fieldsOf(v reflect.Value) map[string]reflect.Value {
+// fieldsByKey maps YAML keys to the fields of a struct.
+func fieldsByKey(v reflect.Value) map[string]reflect.Value {
 	fields := map[string]reflect.Value{}
 	for i := range v.NumField() {
 		if name := v.Type().Field(i).Tag.Get("yaml"); name != "" {
@@ -144,13 +144,13 @@
 	return fields
 }
 
-// names lists the yaml names of a struct's fields in their order.
-func names(t reflect.Type) []string {
-	var list []string
+// yamlKeys returns the YAML keys of a struct's fields, in order.
+func yamlKeys(t reflect.Type) []string {
+	var keys []string
 	for i := range t.NumField() {
 		if name := t.Field(i).Tag.Get("yaml"); name != "" {
-			list = append(list, name)
+			keys = append(keys, name)
 		}
 	}
-	return list
+	return keys
 }
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -8,57 +8,58 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxFaults bounds how many faults of one text are reported.
+// maxFaults is the maximum number of faults that are reported for one text.
 const maxFaults = 100
 
-// place is a position in the text.
-type place struct{ line, column int }
+// position is a position in the text.
+type position struct{ line, column int }
 
-// Document is a text while it is read and checked. It knows the place of each
-// key and gathers the faults.
+// Document collects the faults and the positions of the keys while a text is decoded
+// and checked.
 type Document struct {
-	places map[string]place
-	faults Faults
-	// broken holds the keys whose value could not be read; checks of such a
-	// value would only repeat the fault.
-	broken map[string]bool
-	more   int
+	positions map[string]position
+	faults    Faults
+	// unreadable contains the keys whose values could not be decoded. Further faults of
+	// these values are not reported, because they would only repeat the first.
+	unreadable map[string]bool
+	// omitted is the number of faults beyond maxFaults.
+	omitted int
 }
 
-// NewDocument returns a Document without a text, to gather the faults of values
-// that were built in memory. Its faults have no place.
+// NewDocument returns a Document without a text, to collect the faults of values that
+// were built in memory. Its faults have no position.
 func NewDocument() *Document {
-	return &Document{places: map[string]place{}, broken: map[string]bool{}}
+	return &Document{positions: map[string]position{}, unreadable: map[string]bool{}}
 }
 
-// Add reports a fault at a key such as "routes[2].service". A key that is not in
-// the text is reported at the nearest one above it that is.
+// Add adds a fault at a key such as "routes[2].service". If the key is not in the text,
+// the position is that of its nearest parent that is.
 func (d *Document) Add(key, format string, args ...any) {
-	if d.unread(key) {
+	if d.isUnreadable(key) {
 		return
 	}
-	p := d.placeOf(key)
-	d.add(Fault{Line: p.line, Column: p.column, Key: key, Message: fmt.Sprintf(format, args...)})
+	p := d.positionOf(key)
+	d.addFault(Fault{Line: p.line, Column: p.column, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
-func (d *Document) add(f Fault) {
+func (d *Document) addFault(f Fault) {
 	if len(d.faults) >= maxFaults {
-		d.more++
+		d.omitted++
 		return
 	}
 	d.faults = append(d.faults, f)
 }
 
-// Faults returns what was found, in the order of the text, or nil.
+// Faults returns the faults, sorted by position, or nil.
 func (d *Document) Faults() Faults {
 	d.faults.sort()
-	if d.more > 0 {
-		return append(d.faults, Fault{Key: "document", Message: fmt.Sprintf("%d more faults are not listed", d.more)})
+	if d.omitted > 0 {
+		return append(d.faults, Fault{Key: "document", Message: fmt.Sprintf("%d more faults are not listed", d.omitted)})
 	}
 	return d.faults
 }
 
-// Err returns Faults as an error, or nil.
+// Err returns the faults as an error, or nil if there are none.
 func (d *Document) Err() error {
 	if faults := d.Faults(); len(faults) > 0 {
 		return faults
@@ -68,81 +69,83 @@
 
 // Has reports whether the key is in the text.
 func (d *Document) Has(key string) bool {
-	_, ok := d.places[key]
+	_, ok := d.positions[key]
 	return ok
 }
 
-// unread reports whether the value at key, or one above it, could not be read.
-func (d *Document) unread(key string) bool {
-	for ; key != ""; key = parent(key) {
-		if d.broken[key] {
+// isUnreadable reports whether the value at key, or at one of its parents, could not be
+// decoded.
+func (d *Document) isUnreadable(key string) bool {
+	for ; key != ""; key = parentKey(key) {
+		if d.unreadable[key] {
 			return true
 		}
 	}
 	return false
 }
 
-func (d *Document) placeOf(key string) place {
-	for ; key != ""; key = parent(key) {
-		if p, ok := d.places[key]; ok {
+// positionOf returns the position of key or of its nearest parent in the text.
+func (d *Document) positionOf(key string) position {
+	for ; key != ""; key = parentKey(key) {
+		if p, ok := d.positions[key]; ok {
 			return p
 		}
 	}
-	if len(d.places) == 0 {
-		return place{}
+	if len(d.positions) == 0 {
+		return position{}
 	}
-	return place{line: 1, column: 1}
+	return position{line: 1, column: 1}
 }
 
-// parent is the key above key: "a[1].b" is in "a[1]", which is in "a".
-func parent(key string) string {
+// parentKey returns the key that contains key: "a[1]" for "a[1].b", and "a" for "a[1]".
+func parentKey(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
 
-func join(key, name string) string {
+func joinKey(key, name string) string {
 	if key == "" {
 		return name
 	}
 	return key + "." + name
 }
 
-func (d *Document) mark(key string, node ast.Node) {
-	d.places[key] = start(node)
+func (d *Document) setPosition(key string, node ast.Node) {
+	d.positions[key] = nodePosition(node)
 }
 
-// fail reports that the value at key can't be read.
-func (d *Document) fail(key string, node ast.Node, format string, args ...any) {
-	p := start(node)
+// rejectValue adds a fault for the value at key, which could not be decoded.
+func (d *Document) rejectValue(key string, node ast.Node, format string, args ...any) {
+	p := nodePosition(node)
 	if key != "" {
-		d.broken[key] = true
+		d.unreadable[key] = true
 	}
-	d.add(Fault{Line: p.line, Column: p.column, Key: or(key, "document"), Message: fmt.Sprintf(format, args...)})
+	d.addFault(Fault{Line: p.line, Column: p.column, Key: orDefault(key, "document"), Message: fmt.Sprintf(format, args...)})
 }
 
-func or(text, otherwise string) string {
+func orDefault(text, fallback string) string {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	return text
 }
 
-// start is where a node begins. A block mapping begins at its first key, though
-// its own token is the first colon.
-func start(node ast.Node) place {
+// nodePosition returns the position at which a node starts. A block mapping starts at
+// its first key, although its own token is the first colon.
+func nodePosition(node ast.Node) position {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		if !n.IsFlowStyle && len(n.Values) > 0 {
-			return start(n.Values[0])
+			return nodePosition(n.Values[0])
 		}
 	case *ast.MappingValueNode:
-		return start(n.Key)
+		return nodePosition(n.Key)
 	}
-	return placeOfToken(node.GetToken())
+	return tokenPosition(node.GetToken())
 }
 
-func placeOfToken(t *token.Token) place {
+func tokenPosition(t *token.Token) position {
 	if t == nil || t.Position == nil {
-		return place{}
+		return position{}
 	}
-	return place{line: t.Position.Line, column: t.Position.Column}
+	return position{line: t.Position.Line, column: t.Position.Column}
 }
--- a/internal/strictyaml/fault.go
+++ b/internal/strictyaml/fault.go
@@ -1,10 +1,10 @@
-// Package strictyaml reads YAML into a struct and reports everything wrong with
-// the text at once: each fault has its line, its column, the path of its key and
-// what would be right. The settings and the manifest are both read by it.
+// Package strictyaml decodes YAML into a struct and reports all errors in the text at
+// once, called faults: each has a line, a column, the path of its key and a message
+// that says what is expected. It is used for the settings and the manifest.
 //
-// It takes a subset of YAML: one document of mappings, sequences and scalars.
-// Anchors, aliases, tags and merge keys are refused, so the size of what is read
-// is bounded by the size of the text.
+// It supports a subset of YAML: one document of mappings, sequences and scalars.
+// Anchors, aliases, tags and merge keys are rejected, so that the size of the decoded
+// values is bounded by the size of the text.
 package strictyaml
 
 import (
@@ -14,8 +14,8 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a text, with its place. Line and Column count
-// from 1; both are 0 if the fault has no place in the text.
+// Fault is one error in a text, with its position. Line and Column start at 1; both are
+// 0 if the fault has no position in the text.
 type Fault struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
@@ -23,8 +23,8 @@
 	Message string `json:"message"`
 }
 
-// String returns "line:column: key: message", without the place if there is
-// none.
+// String returns "line:column: key: message", or "key: message" if the fault has no
+// position.
 func (f Fault) String() string {
 	if f.Line == 0 {
 		return fmt.Sprintf("%s: %s", f.Key, f.Message)
@@ -32,10 +32,10 @@
 	return fmt.Sprintf("%d:%d: %s: %s", f.Line, f.Column, f.Key, f.Message)
 }
 
-// Faults is every fault of one text, in the order of their places.
+// Faults lists the faults of one text, sorted by position.
 type Faults []Fault
 
-// Error implements the error interface, one fault a line.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
--- a/internal/strictyaml/scalar.go
+++ b/internal/strictyaml/scalar.go
@@ -11,17 +11,17 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// decodeScalar reads one value. The text of the token counts, not the type that
-// YAML guesses: a version "1.10" wanted as text stays "1.10".
+// decodeScalar decodes one scalar. It uses the text of the token and the type of the
+// field, not the type that YAML infers: a version 1.10 in a string field stays "1.10".
 func (d *Document) decodeScalar(key string, node ast.Node, into reflect.Value) {
-	d.mark(key, node)
+	d.setPosition(key, node)
 	text, ok := scalarText(node)
 	if !ok {
-		d.fail(key, node, "want %s, got a %s", want(into.Type()), node.Type().YAMLName())
+		d.rejectValue(key, node, "want %s, got a %s", describeType(into.Type()), node.Type().YAMLName())
 		return
 	}
-	if !set(into, text, node) {
-		d.fail(key, node, "want %s, got %q%s", want(into.Type()), abridge(text), hint(into.Type(), text))
+	if !setScalar(into, text, node) {
+		d.rejectValue(key, node, "want %s, got %q%s", describeType(into.Type()), truncate(text), suggestDuration(into.Type(), text))
 	}
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// set parses text into a field and reports whether it could.
-func set(into reflect.Value, text string, node ast.Node) bool {
+// setScalar parses text into a field and reports whether that succeeded.
+func setScalar(into reflect.Value, text string, node ast.Node) bool {
 	if into.Type() == durationType {
 		v, err := time.ParseDuration(text)
 		into.SetInt(int64(v))
@@ -66,12 +66,12 @@
 		into.SetFloat(v)
 		return err == nil && !quoted
 	default:
-		panic(fmt.Sprintf("strictyaml: a field of type %s", into.Type()))
+		panic(fmt.Sprintf("strictyaml: unsupported field type %s", into.Type()))
 	}
 }
 
-// want says what a field of a type takes.
-func want(t reflect.Type) string {
+// describeType describes the values of a field type, for messages.
+func describeType(t reflect.Type) string {
 	if t == durationType {
 		return "a duration with its unit, such as 500ms, 10s or 5m"
 	}
@@ -83,7 +83,7 @@
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		return "a whole number"
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		return "a whole number from 0"
+		return "a non-negative whole number"
 	case reflect.Float64:
 		return "a number"
 	case reflect.Slice:
@@ -93,8 +93,9 @@
 	}
 }
 
-// hint guesses what a refused value was to say.
-func hint(t reflect.Type, text string) string {
+// suggestDuration returns a suggestion for an invalid duration, to append to a message,
+// or "" if there is none.
+func suggestDuration(t reflect.Type, text string) string {
 	if t != durationType {
 		return ""
 	}
@@ -103,25 +104,25 @@
 	}
 	var number float64
 	var unit string
-	if n, _ := fmt.Sscanf(text, "%g %s", &number, &unit); n == 2 && units[unit] != "" {
-		return fmt.Sprintf("; did you mean %s%s?", strconv.FormatFloat(number, 'f', -1, 64), units[unit])
+	if n, _ := fmt.Sscanf(text, "%g %s", &number, &unit); n == 2 && durationUnits[unit] != "" {
+		return fmt.Sprintf("; did you mean %s%s?", strconv.FormatFloat(number, 'f', -1, 64), durationUnits[unit])
 	}
 	return ""
 }
 
-// units maps the units that people write to those of time.ParseDuration.
-var units = map[string]string{
+// durationUnits maps common unit names to the units of time.ParseDuration.
+var durationUnits = map[string]string{
 	"ms": "ms", "msec": "ms", "millisecond": "ms", "milliseconds": "ms",
 	"s": "s", "sec": "s", "secs": "s", "second": "s", "seconds": "s",
 	"m": "m", "min": "m", "mins": "m", "minute": "m", "minutes": "m",
 	"h": "h", "hr": "h", "hour": "h", "hours": "h",
 }
 
-// example is a sample element for a list of a type.
-func example(t reflect.Type) string {
+// exampleElement returns an example of list elements of a type, for messages.
+func exampleElement(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Struct:
-		return "{" + names(t)[0] + ": ...}"
+		return "{" + yamlKeys(t)[0] + ": ...}"
 	case reflect.String:
 		return "a, b"
 	default:
@@ -129,12 +130,13 @@
 	}
 }
 
-const maxShown = 60
+// maxValueBytes is the maximum length of a value in a message.
+const maxValueBytes = 60
 
-// abridge shortens a value for a message.
-func abridge(text string) string {
-	if len(text) <= maxShown {
+// truncate shortens a value for a message.
+func truncate(text string) string {
+	if len(text) <= maxValueBytes {
 		return text
 	}
-	return text[:maxShown] + "..."
+	return text[:maxValueBytes] + "..."
 }
--- a/internal/strictyaml/shape.go
+++ b/internal/strictyaml/shape.go
@@ -6,45 +6,50 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// The bounds of a document's shape. They are held on the tokens, before the
-// parser runs: it calls itself once a level, and its time grows with the square
-// of the keys of one mapping (18 s for 100,000) and of the documents.
+// The limits of a document's structure. They are checked on the tokens, before parsing,
+// because the parser recurses once per nesting level, and its time grows with the square
+// of the number of keys in a mapping (18 s for 100,000 keys) and of the number of
+// documents.
 const (
 	maxDepth = 32
 	maxKeys  = 256
 )
 
-// level is one collection that is open at a token.
-type level struct {
-	// column is that of a block collection, or inFlow.
+// openCollection is a mapping or sequence that is open at the current token.
+type openCollection struct {
+	// column is the column of a block collection, or flowColumn.
 	column int
-	// keys counts the keys read of a mapping.
+	// keys is the number of keys of a mapping so far.
 	keys int
 }
 
-const inFlow = 0
+// flowColumn is the column of every flow collection.
+const flowColumn = 0
 
-// shape follows the open collections through the tokens of a text. It counts
-// block collections by their growing columns, flow collections by their
-// brackets, and each prefix (anchor, tag, "? ") as a level, which counts too
-// many rather than too few.
-type shape struct {
-	levels   []level
-	flow     int
-	prefixes int
-	// headers and ends count the marks between documents.
+// shapeChecker tracks the open collections while it visits the tokens of a text. It
+// recognizes nested block collections by increasing columns and flow collections by
+// their brackets. It counts each prefix (anchor, tag, "? ") as a level, which may
+// overestimate the depth but never underestimates it.
+type shapeChecker struct {
+	// open are the open collections, outermost first.
+	open []openCollection
+	// flowDepth is the number of open flow collections.
+	flowDepth int
+	prefixes  int
+	// headers and ends count the document start and end markers.
 	headers, ends int
 }
 
-// checkShape returns the first token beyond the bounds, and which bound it is.
+// checkShape returns the first token that exceeds a limit or is not supported, and a
+// message. It returns nil if there is none.
 func checkShape(tokens token.Tokens) (*token.Token, string) {
-	var s shape
+	var s shapeChecker
 	for i, t := range tokens {
 		keys := 0
 		switch t.Type {
 		case token.SequenceStartType, token.MappingStartType:
-			s.flow++
-			s.levels = append(s.levels, level{column: inFlow})
+			s.flowDepth++
+			s.open = append(s.open, openCollection{column: flowColumn})
 		case token.SequenceEndType, token.MappingEndType:
 			s.closeFlow()
 		case token.AnchorType, token.TagType, token.MappingKeyType:
@@ -54,25 +59,25 @@
 		case token.DocumentEndType:
 			s.ends++
 		case token.DirectiveType:
-			return t, "directives are not taken"
+			return t, "directives are not supported"
 		case token.SequenceEntryType:
-			if s.flow > 0 {
-				return t, "a \"- \" entry is not taken within brackets"
+			if s.flowDepth > 0 {
+				return t, "a \"- \" entry is not supported within brackets"
 			}
 			s.prefixes = 0
-			s.enter(t.Position.Column)
+			s.openBlock(t.Position.Column)
 		case token.MappingValueType:
 			s.prefixes = 0
-			s.enter(tokens[max(i-1, 0)].Position.Column)
-			top := &s.levels[len(s.levels)-1]
+			s.openBlock(tokens[max(i-1, 0)].Position.Column)
+			top := &s.open[len(s.open)-1]
 			top.keys++
 			keys = top.keys
 		}
-		if len(s.levels)+s.prefixes > maxDepth {
+		if len(s.open)+s.prefixes > maxDepth {
 			return t, "is nested too deep"
 		}
 		if s.headers > 1 || s.ends > 1 {
-			return t, "is followed by a second document; want one in a file"
+			return t, "is followed by a second document; want one per file"
 		}
 		if keys > maxKeys {
 			return t, fmt.Sprintf("a mapping has more than %d keys", maxKeys)
@@ -81,26 +86,27 @@
 	return nil, ""
 }
 
-// enter leaves the block collections right of column and opens one there, unless
-// it is open. Within a flow collection columns mean nothing.
-func (s *shape) enter(column int) {
-	if s.flow > 0 {
+// openBlock closes the block collections to the right of column and opens one at column,
+// unless it is already open. Within a flow collection, columns have no meaning, and
+// openBlock does nothing.
+func (s *shapeChecker) openBlock(column int) {
+	if s.flowDepth > 0 {
 		return
 	}
-	for len(s.levels) > 0 && s.top().column > column {
-		s.levels = s.levels[:len(s.levels)-1]
+	for len(s.open) > 0 && s.top().column > column {
+		s.open = s.open[:len(s.open)-1]
 	}
-	if len(s.levels) == 0 || s.top().column < column {
-		s.levels = append(s.levels, level{column: column})
+	if len(s.open) == 0 || s.top().column < column {
+		s.open = append(s.open, openCollection{column: column})
 	}
 }
 
-func (s *shape) closeFlow() {
-	if s.flow == 0 {
+func (s *shapeChecker) closeFlow() {
+	if s.flowDepth == 0 {
 		return
 	}
-	s.flow--
-	s.levels = s.levels[:len(s.levels)-1]
+	s.flowDepth--
+	s.open = s.open[:len(s.open)-1]
 }
 
-func (s *shape) top() level { return s.levels[len(s.levels)-1] }
+func (s *shapeChecker) top() openCollection { return s.open[len(s.open)-1] }
--- a/internal/strictyaml/suggest.go
+++ b/internal/strictyaml/suggest.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// maxListed is how many known names a message lists.
+// maxListed is the maximum number of known names in a message.
 const maxListed = 12
 
-// Suggest names the known name nearest to got, or lists the known names if none
-// is near. It returns "" if no name is known.
+// Suggest returns a message with the known name most similar to got, or with a list of
+// the known names if none is similar. It returns "" if known is empty.
 func Suggest(got string, known []string) string {
-	if best, ok := nearest(got, known); ok {
+	if best, ok := mostSimilar(got, known); ok {
 		return fmt.Sprintf("did you mean %q?", best)
 	}
 	if len(known) == 0 {
@@ -26,23 +26,24 @@
 	return "known are " + strings.Join(listed, ", ")
 }
 
-// nearest returns the known name that the fewest edits away, at most a third of
-// its length.
-func nearest(got string, known []string) (string, bool) {
-	best, least := "", -1
+// mostSimilar returns the known name with the smallest edit distance to got, ignoring
+// case. The distance must be at most a third of the name's length, or 1.
+func mostSimilar(got string, known []string) (string, bool) {
+	best, minEdits := "", -1
 	for _, name := range known {
 		edits := editDistance(strings.ToLower(got), strings.ToLower(name))
 		if edits > max(1, len(name)/3) {
 			continue
 		}
-		if least < 0 || edits < least {
-			best, least = name, edits
+		if minEdits < 0 || edits < minEdits {
+			best, minEdits = name, edits
 		}
 	}
-	return best, least >= 0
+	return best, minEdits >= 0
 }
 
-// editDistance is the Levenshtein distance of a and b, in bytes.
+// editDistance returns the Levenshtein distance between a and b, in bytes, or
+// maxNameLength if one of them is longer than that.
 func editDistance(a, b string) int {
 	if len(a) > maxNameLength || len(b) > maxNameLength {
 		return maxNameLength
--- a/internal/version/manifest/bounds_test.go
+++ b/internal/version/manifest/bounds_test.go
@@ -18,7 +18,7 @@
 		"list":      {strings.Repeat("- ", 1<<15), "is nested too deep"},
 		"keys":      {strings.Repeat("a: b\n", 100_000), "more than 256 keys"},
 		"flow keys": {"{" + strings.Repeat("a: b, ", 100_000), "more than 256 keys"},
-		"blanks":    {"a: >\n" + strings.Repeat("\n", 4_000_000), "block text"},
+		"blanks":    {"a: >\n" + strings.Repeat("\n", 4_000_000), "block scalars"},
 		"tabs":      {"a: \"" + strings.Repeat("\t{a: b}, ", 400_000), "has a tab"},
 		"entries":   {"a: [" + strings.Repeat("- ", 1<<17), "within brackets"},
 		"size":      {strings.Repeat("#", MaxBytes+1), "want at most 4194304"},
--- a/internal/version/manifest/check.go
+++ b/internal/version/manifest/check.go
@@ -246,7 +246,7 @@
 		wanted = []string{anyMethod}
 	}
 	if method, other, shared := sharedMethod(owners, wanted); shared {
-		d.Add(key+".path", "%q with method %s is already taken by %s%s", r.Path, method, other, d.InLine(other))
+		d.Add(key+".path", "%q with method %s is already taken by %s%s", r.Path, method, other, d.LineSuffix(other))
 	}
 	for _, method := range wanted {
 		owners[method] = key
