--- a/internal/trail/explain.go
+++ b/internal/trail/explain.go
@@ -12,23 +12,24 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Explain writes the path of a request, oldest line first, and what its end
-// means.
+// Explain writes the log lines of a request, oldest first, and a summary of how it
+// ended. It sorts lines, which must not be empty.
 func Explain(w io.Writer, lines []Line) error {
 	Sort(lines)
 	var out strings.Builder
-	begin := lines[0].Time
+	start := lines[0].Time
 	for i := range lines {
 		l := &lines[i]
-		fmt.Fprintf(&out, "%9s  %-15s  %s\n", "+"+l.Time.Sub(begin).Round(10*time.Microsecond).String(), l.Node, l.Message)
-		fmt.Fprintf(&out, "           %s\n", join(l.Fields))
+		fmt.Fprintf(&out, "%9s  %-15s  %s\n", "+"+l.Time.Sub(start).Round(10*time.Microsecond).String(), l.Node, l.Message)
+		fmt.Fprintf(&out, "           %s\n", formatFields(l.Fields))
 	}
-	out.WriteString(verdict(lines))
+	out.WriteString(summary(lines))
 	_, err := io.WriteString(w, out.String())
 	return err
 }
 
-func join(fields map[string]any) string {
+// formatFields formats fields as key=value pairs, sorted by key, without empty values.
+func formatFields(fields map[string]any) string {
 	parts := make([]string, 0, len(fields))
 	for _, key := range slices.Sorted(maps.Keys(fields)) {
 		if value := fmt.Sprint(fields[key]); value != "" {
@@ -38,10 +39,10 @@
 	return strings.Join(parts, " ")
 }
 
-// verdict says how the request ended, and why as far as the lines tell.
-func verdict(lines []Line) string {
+// summary describes how the request ended, and why as far as the lines show.
+func summary(lines []Line) string {
 	var out strings.Builder
-	end, attempts, turnedAway := "", 0, 0
+	end, attempts, reportedAtServer := "", 0, 0
 	var last *Line
 	for i := range lines {
 		switch l := &lines[i]; l.Message {
@@ -50,29 +51,29 @@
 		case gateway.LogAttempt:
 			attempts++
 		case gateway.LogTurnedAway:
-			turnedAway++
+			reportedAtServer++
 		}
 	}
 	switch end {
 	case "":
-		out.WriteString("\nEnd: not in these logs. The daemon that took the request from its caller wrote it, if the log told of this request.\n")
+		out.WriteString("\nEnd: not in these logs. It is in the log of the daemon that accepted the request from the caller, unless that daemon did not log this request.\n")
 	case gateway.LogAnswered:
 		fmt.Fprintf(&out, "\nEnd: answered with status %v after %s, at attempt %v.\n", last.Fields["status"], last.Text("took"), last.Fields["attempts"])
 	default:
-		code := codeOf(last.Text("result"))
+		code := parseCode(last.Text("result"))
 		fmt.Fprintf(&out, "\nEnd: %s, %s: %s\n", last.Text("outcome"), code, code.Meaning())
 	}
-	fmt.Fprintf(&out, "Attempts without an answer: %d; told of by the daemon beside the server: %d.\n", attempts, turnedAway)
-	if attempts > turnedAway {
+	fmt.Fprintf(&out, "Attempts without an answer: %d; told of by the daemon beside the server: %d.\n", attempts, reportedAtServer)
+	if attempts > reportedAtServer {
 		out.WriteString("For the others look into the logs of the daemons named by \"to\": without a line there the request did not arrive.\n")
 	}
 	return out.String()
 }
 
-// codeOf finds a code by its number and name; 0 without one.
-func codeOf(name string) result.Code {
+// parseCode returns the code with the given number and name, or 0 if there is none.
+func parseCode(text string) result.Code {
 	for code := range result.Codes() {
-		if code.String() == name {
+		if code.String() == text {
 			return code
 		}
 	}
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,6 +1,6 @@
-// Package trail finds the path of one request in the logs of daemons: what the
-// first daemon decided, what the daemon beside each server did, and what the
-// answer means.
+// Package trail reconstructs the path of one request from the logs of daemons: what
+// the daemon that accepted the request decided, what the daemon of each backend server
+// did, and what the result means.
 package trail
 
 import (
@@ -15,23 +15,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// lineMax bounds one line of a log, in bytes.
-const lineMax = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
 // Line is one log line about a request.
 type Line struct {
-	// Source is the file and what stands before the line's object, such as the
-	// name that a collector of logs puts there.
+	// Source is the file, followed by any text before the JSON object of the line, such
+	// as a name that a log collector adds.
 	Source string
-	// Time is the wall clock of the daemon that wrote the line.
+	// Time is the time of the log line, by the clock of the daemon that wrote it.
 	Time time.Time
-	// Node is that daemon, Message what it tells.
+	// Node is the daemon that wrote the line, Message its log message.
 	Node, Message string
-	// Fields are the line's other values, by key.
+	// Fields are the other fields of the line, by key.
 	Fields map[string]any
 }
 
-// The keys that each line has.
+// The keys of the fields that every line has.
 const (
 	keyTime    = "ts"
 	keyLevel   = "level"
@@ -41,57 +41,61 @@
 	keyID      = "id"
 )
 
-// Read returns the lines about the request id in a log. Lines that are no JSON
-// object after what a collector put before them are passed over.
+// Read returns the lines of a log about the request with the given ID. It ignores lines
+// that do not end with a JSON object; text before the object is allowed.
 func Read(r io.Reader, source, id string) ([]Line, error) {
-	var found []Line
-	needle := []byte(id)
+	var lines []Line
+	idBytes := []byte(id)
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, lineMax)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		raw := scanner.Bytes()
-		if !bytes.Contains(raw, needle) {
+		if !bytes.Contains(raw, idBytes) {
 			continue
 		}
-		if line, ok := parse(raw, source, id); ok {
-			found = append(found, line)
+		if line, ok := parseLine(raw, source, id); ok {
+			lines = append(lines, line)
 		}
 	}
-	return found, errors.Wrap(scanner.Err(), source)
+	return lines, errors.Wrap(scanner.Err(), source)
 }
 
-func parse(raw []byte, source, id string) (Line, bool) {
-	begin := bytes.IndexByte(raw, '{')
-	if begin < 0 {
+// parseLine parses a log line. It returns false if the line has no JSON object or is
+// about another request.
+func parseLine(raw []byte, source, id string) (Line, bool) {
+	start := bytes.IndexByte(raw, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var fields map[string]any
-	if json.Unmarshal(raw[begin:], &fields) != nil || fields[keyID] != id {
+	if json.Unmarshal(raw[start:], &fields) != nil || fields[keyID] != id {
 		return Line{}, false
 	}
 	line := Line{Source: source, Fields: fields}
-	if prefix := bytes.Join(bytes.Fields(raw[:begin]), []byte(" ")); len(prefix) > 0 {
+	if prefix := bytes.Join(bytes.Fields(raw[:start]), []byte(" ")); len(prefix) > 0 {
 		line.Source += ": " + string(prefix)
 	}
-	line.Node, line.Message = text(fields, keyNode), text(fields, keyMessage)
-	// A line without a readable time sorts first.
-	line.Time, _ = time.Parse(time.RFC3339Nano, text(fields, keyTime))
+	line.Node, line.Message = stringField(fields, keyNode), stringField(fields, keyMessage)
+	// A line without a valid time gets the zero time and is sorted first.
+	line.Time, _ = time.Parse(time.RFC3339Nano, stringField(fields, keyTime))
 	for _, key := range []string{keyTime, keyLevel, keyLogger, keyMessage, keyNode, keyID} {
 		delete(fields, key)
 	}
 	return line, true
 }
 
-func text(fields map[string]any, key string) string {
+// stringField returns a string field, or "" if it is missing or not a string.
+func stringField(fields map[string]any, key string) string {
 	s, _ := fields[key].(string)
 	return s
 }
 
-// Text returns a field that is a text, "" without one.
-func (l *Line) Text(key string) string { return text(l.Fields, key) }
+// Text returns a string field, or "" if it is missing or not a string.
+func (l *Line) Text(key string) string { return stringField(l.Fields, key) }
 
-// Sort puts lines into their order. Clocks of instances differ: a line of the
-// daemon beside a server may come before that of the daemon that sent the request.
+// Sort sorts lines by time and source. Because clocks of instances differ, a line of
+// the daemon that received a request may be sorted before that of the daemon that sent
+// it.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Source, b.Source))
