--- a/internal/version/fleet/fleet_test.go
+++ b/internal/version/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 // TestHistoryMerges applies merged deltas, after packing and unpacking them, to their
 // start version and to each version in between, and compares the results with the
-// newest state.
+// newest state. It also checks that the newest state rejects snapshots of older ones.
 func TestHistoryMerges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := History{Count: rapid.IntRange(1, 20).Draw(t, "count"), Bytes: rapid.IntRange(100, 10000).Draw(t, "bytes")}
--- a/internal/version/fleet/rollout.go
+++ b/internal/version/fleet/rollout.go
@@ -131,7 +131,8 @@
 	return RolloutLine{Number: r.Number, Version: r.Version, Target: r.Target, Stage: r.Stage, Ordered: r.Ordered, Ended: r.Ended, Why: r.Why}
 }
 
-// Next returns a new rollout, to version target, that follows r. r must have ended.
+// Next returns a new rollout, to version target, that follows r. r must not be in
+// progress.
 func (r *Rollout) Next(target string, within time.Duration, ordered time.Time) *Rollout {
 	next := &Rollout{
 		Number: r.Number + 1, Version: r.Serving(), Target: target, Stage: Canary,
--- a/internal/version/manifest/bounds_test.go
+++ b/internal/version/manifest/bounds_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestShapeIsBoundedBeforeItCosts parses inputs that took the YAML parser minutes
-// or overflowed its stack before nesting depth, number of keys and size were
-// limited. It measures no time: without the limits it exceeds the test timeout of
-// the package.
+// or overflowed its stack before the size and structure of the input were limited.
+// It measures no time: without the limits it exceeds the test timeout of the
+// package.
 func TestShapeIsBoundedBeforeItCosts(t *testing.T) {
 	c := qt.New(t)
 	for name, test := range map[string]struct{ text, want string }{
--- a/internal/version/manifest/manifest.go
+++ b/internal/version/manifest/manifest.go
@@ -51,8 +51,8 @@
 	// SlowStart is the time over which a new backend server ramps up to its
 	// full share of requests. Default 0s: no ramp-up.
 	SlowStart time.Duration `yaml:"slow_start" cbor:"5,keyasint,omitempty"`
-	// Health is the path of the backend servers' health check; empty if there
-	// is none.
+	// Health is the path of the health check at which a backend server reports
+	// whether it accepts requests; empty if there is none.
 	Health string `yaml:"health" cbor:"6,keyasint,omitempty"`
 }
 
