--- a/internal/connection/upstream/conn.go
+++ b/internal/connection/upstream/conn.go
@@ -11,84 +11,88 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrHeaderTooLarge is returned for an answer with too large a header.
-var ErrHeaderTooLarge = errors.New("the answer's header is too large")
+// ErrHeaderTooLarge is returned when a response header exceeds the size limit.
+var ErrHeaderTooLarge = errors.New("response header is too large")
 
 const (
-	readBuffer = 4 << 10
-	// headerMax bounds the header of an answer.
-	headerMax = 256 << 10
+	readBufferSize = 4 << 10
+	// maxHeaderBytes is the size limit of a response header, in bytes.
+	maxHeaderBytes = 256 << 10
 )
 
-// conn is one connection.
+// conn is a pooled connection to the server.
 type conn struct {
 	net.Conn
-	br    *bufio.Reader
-	since time.Time
-	// left is how much more of a header is read; below 0 is no bound.
-	left int
-	// stall, if above 0, bounds each read.
-	stall time.Duration
-	// ctx is that of the request in progress; its end ends every read.
+	br *bufio.Reader
+	// idleSince is when the connection became idle.
+	idleSince time.Time
+	// headerLeft is how many more header bytes may be read; negative means no
+	// limit, as for the body.
+	headerLeft int
+	// stallTimeout limits each read if it is positive.
+	stallTimeout time.Duration
+	// ctx is the context of the current request; its end aborts every read.
 	ctx context.Context
-	// bounded is set while a deadline of an earlier read stands.
-	bounded bool
+	// deadlineSet reports whether an earlier read left a read deadline set.
+	deadlineSet bool
 }
 
-// begin readies an idle connection for a request.
-func (c *conn) begin(ctx context.Context) {
-	if c.bounded {
+// startRequest resets the connection state for a new request.
+func (c *conn) startRequest(ctx context.Context) {
+	if c.deadlineSet {
 		_ = c.SetReadDeadline(time.Time{})
 	}
-	c.ctx, c.bounded, c.stall, c.left = ctx, false, 0, headerMax
+	c.ctx, c.deadlineSet, c.stallTimeout, c.headerLeft = ctx, false, 0, maxHeaderBytes
 }
 
-// Read implements io.Reader for br.
+// Read implements io.Reader; br reads through it.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.left == 0 {
+	if c.headerLeft == 0 {
 		return 0, ErrHeaderTooLarge
 	}
-	if c.left > 0 && len(p) > c.left {
-		p = p[:c.left]
+	if c.headerLeft > 0 && len(p) > c.headerLeft {
+		p = p[:c.headerLeft]
 	}
-	if c.stall > 0 {
-		c.bound()
+	if c.stallTimeout > 0 {
+		c.extendReadDeadline()
 	}
 	n, err := c.Conn.Read(p)
-	if c.left > 0 {
-		c.left -= n
+	if c.headerLeft > 0 {
+		c.headerLeft -= n
 	}
 	return n, err
 }
 
-// bound sets the deadline of the next read, unless the request was given up.
-func (c *conn) bound() {
-	c.bounded = true
-	_ = c.SetReadDeadline(time.Now().Add(c.stall))
+// extendReadDeadline sets the deadline of the next read. If the request was
+// canceled, the deadline stays in the past.
+func (c *conn) extendReadDeadline() {
+	c.deadlineSet = true
+	_ = c.SetReadDeadline(time.Now().Add(c.stallTimeout))
 	if c.ctx.Err() != nil {
-		_ = c.SetDeadline(past)
+		_ = c.SetDeadline(aLongTimeAgo)
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing came on it: a
-// late or crossed answer must not be taken for that to the next request.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no unread data.
+// Unread data may be a late or unsolicited response, which must not be taken as
+// the response to the next request.
+func (c *conn) reusable() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		reusable = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// drain reads until the far side closes.
-func (c *conn) drain() {
+// discardUntilClose reads and discards data until the peer closes.
+func (c *conn) discardUntilClose() {
 	_ = c.SetDeadline(time.Time{})
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
--- a/internal/connection/upstream/pool.go
+++ b/internal/connection/upstream/pool.go
@@ -1,7 +1,7 @@
-// Package upstream is the HTTP/1.1 client of the calls: towards backend servers
-// and towards other daemons. Unlike http.Transport it never sends a request a
-// second time by itself, it tells exactly whether a request was handed over,
-// and it reports when the far side is done with a request that was given up.
+// Package upstream is the HTTP/1.1 client that forwards requests to backend
+// servers and to other daemons. Unlike http.Transport it never retries a request
+// by itself, it reports exactly whether a request was sent, and it reports when
+// the server has finished a request that was canceled.
 package upstream
 
 import (
@@ -15,20 +15,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrConnections is returned when every connection that the server takes is in
-// use.
-var ErrConnections = errors.New("every connection is in use")
+// ErrConnectionLimit is returned when all connections that the pool may open are
+// in use.
+var ErrConnectionLimit = errors.New("all connections are in use")
 
-// Config is fixed for the life of a Pool.
+// Config is the immutable configuration of a Pool.
 type Config struct {
 	// Addr is "ip:port".
 	Addr string
-	// IdleMax is the most idle connections kept, and IdleTimeout how long.
+	// IdleMax is the maximum number of idle connections kept, IdleTimeout the
+	// maximum time one stays idle.
 	IdleMax     int
 	IdleTimeout time.Duration
 	DialTimeout time.Duration
-	// Linger waits for the far side to end its work on a request that was given
-	// up, after telling it by a half-closed connection; Done is called then.
+	// Linger half-closes the connection of a canceled request and waits for the
+	// server to finish the request before calling Request.Done.
 	Linger bool
 }
 
@@ -37,15 +38,15 @@
 	cfg Config
 
 	mu   sync.Mutex
-	idle []*conn // the longest idle first
-	// total counts connections in use, idle and lingering: at most max if that
-	// is above 0.
+	idle []*conn // longest idle first
+	// total counts the connections that are in use, idle or lingering; it is at
+	// most max if max is positive.
 	total, max int
 	lingering  map[*conn]struct{}
-	// freed is signalled when a lingering connection ended.
-	freed   chan struct{}
-	closed  bool
-	sweeper *time.Timer
+	// freed is signaled when a connection was closed.
+	freed       chan struct{}
+	closed      bool
+	expiryTimer *time.Timer
 }
 
 // NewPool returns an empty pool.
@@ -53,22 +54,22 @@
 	return &Pool{cfg: cfg, lingering: map[*conn]struct{}{}, freed: make(chan struct{}, 1)}
 }
 
-// SetMax bounds the connections; 0 takes the bound away.
+// SetMax sets the maximum number of connections; 0 means no limit.
 func (p *Pool) SetMax(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.max = n
 }
 
-// Total is the number of open connections.
+// Total returns the number of open connections.
 func (p *Pool) Total() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.total
 }
 
-// Close closes idle and lingering connections; those in use end with their
-// request.
+// Close closes idle and lingering connections. Connections in use are closed when
+// their request ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -79,57 +80,58 @@
 	}
 	p.mu.Unlock()
 	for _, c := range idle {
-		p.drop(c, nil)
+		p.release(c, nil)
 	}
 }
 
-// get returns a connection that was idle for at most age, or a new one. Where
-// there may be no more, an older one serves, or the end of a lingering one is
-// awaited.
-func (p *Pool) get(ctx context.Context, age time.Duration) (*conn, error) {
-	for begin := time.Now(); ; {
-		c, err := p.take(age)
+// get returns a connection that was idle for at most maxIdle, or a new one. At
+// the connection limit it returns one that was idle for longer, or else waits up
+// to Config.DialTimeout for a connection to be closed.
+func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*conn, error) {
+	for start := time.Now(); ; {
+		c, err := p.takeIdle(maxIdle)
 		switch {
 		case err != nil:
-			if time.Since(begin) > p.cfg.DialTimeout || !p.awaitFreed(ctx) {
+			if time.Since(start) > p.cfg.DialTimeout || !p.waitForFreed(ctx) {
 				return nil, err
 			}
 		case c == nil:
 			return p.dial(ctx)
-		case c.quiet():
+		case c.reusable():
 			return c, nil
 		default:
-			p.drop(c, nil)
+			p.release(c, nil)
 		}
 	}
 }
 
-// take returns an idle connection, or nil if a new one may be opened.
-func (p *Pool) take(age time.Duration) (*conn, error) {
+// takeIdle removes and returns an idle connection. It returns nil if the caller
+// is to open a new one, which is then already counted in total.
+func (p *Pool) takeIdle(maxIdle time.Duration) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := len(p.idle) - 1
 	full := p.max > 0 && p.total >= p.max
-	if last >= 0 && (full || time.Since(p.idle[last].since) <= age) {
+	if last >= 0 && (full || time.Since(p.idle[last].idleSince) <= maxIdle) {
 		c := p.idle[last]
 		p.idle = p.idle[:last]
 		return c, nil
 	}
 	if full {
-		return nil, ErrConnections
+		return nil, ErrConnectionLimit
 	}
 	p.total++
 	return nil, nil
 }
 
-// freedPoll bounds one wait for a lingering connection: one signal may stand for
-// several.
-const freedPoll = 5 * time.Millisecond
+// freedPollInterval limits one wait for a freed connection, since one signal may
+// stand for several.
+const freedPollInterval = 5 * time.Millisecond
 
-// awaitFreed waits for the end of a lingering connection, and reports whether
-// ctx still stands.
-func (p *Pool) awaitFreed(ctx context.Context) bool {
-	timer := time.NewTimer(freedPoll)
+// waitForFreed waits until a connection was closed or freedPollInterval has
+// passed. It returns false if ctx ended.
+func (p *Pool) waitForFreed(ctx context.Context) bool {
+	timer := time.NewTimer(freedPollInterval)
 	defer timer.Stop()
 	select {
 	case <-p.freed:
@@ -140,21 +142,22 @@
 	return true
 }
 
-// dial opens a connection. One whose request ended meanwhile goes to the idle
-// ones: a dial that is cut short may leave a connection on the far side.
+// dial opens a connection. If ctx ends first, the connection is added to the idle
+// ones when it is established: canceling the dial could leave an open connection
+// at the server.
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
-	type dialled struct {
+	type dialResult struct {
 		conn *conn
 		err  error
 	}
-	result := make(chan dialled)
+	result := make(chan dialResult)
 	go func() {
 		c, err := p.open()
 		select {
-		case result <- dialled{c, err}:
+		case result <- dialResult{c, err}:
 		case <-ctx.Done():
 			if err == nil {
-				p.put(c)
+				p.putIdle(c)
 			}
 		}
 	}()
@@ -176,52 +179,53 @@
 		return nil, err
 	}
 	c := &conn{Conn: tcp}
-	c.br = bufio.NewReaderSize(c, readBuffer)
+	c.br = bufio.NewReaderSize(c, readBufferSize)
 	return c, nil
 }
 
-// put takes back a connection whose request and answer are both complete.
-func (p *Pool) put(c *conn) {
+// putIdle returns a connection to the pool after a complete request and response.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	keep := !p.closed && len(p.idle) < p.cfg.IdleMax
 	if keep {
-		c.since = time.Now()
+		c.idleSince = time.Now()
 		p.idle = append(p.idle, c)
-		if p.sweeper == nil {
-			p.sweeper = time.AfterFunc(p.cfg.IdleTimeout, p.sweep)
+		if p.expiryTimer == nil {
+			p.expiryTimer = time.AfterFunc(p.cfg.IdleTimeout, p.closeExpired)
 		}
 	}
 	p.mu.Unlock()
 	if !keep {
-		p.drop(c, nil)
+		p.release(c, nil)
 	}
 }
 
-// sweep closes connections that were idle for too long.
-func (p *Pool) sweep() {
+// closeExpired closes connections that were idle for IdleTimeout or longer.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	n := 0
-	for n < len(p.idle) && time.Since(p.idle[n].since) >= p.cfg.IdleTimeout {
+	for n < len(p.idle) && time.Since(p.idle[n].idleSince) >= p.cfg.IdleTimeout {
 		n++
 	}
-	old := slices.Clone(p.idle[:n])
+	expired := slices.Clone(p.idle[:n])
 	p.idle = slices.Delete(p.idle, 0, n)
-	p.sweeper = nil
+	p.expiryTimer = nil
 	if len(p.idle) > 0 {
-		p.sweeper = time.AfterFunc(p.cfg.IdleTimeout-time.Since(p.idle[0].since), p.sweep)
+		p.expiryTimer = time.AfterFunc(p.cfg.IdleTimeout-time.Since(p.idle[0].idleSince), p.closeExpired)
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		p.drop(c, nil)
+	for _, c := range expired {
+		p.release(c, nil)
 	}
 }
 
-// drop gives a connection up, whose request may still be worked on, and calls
-// done when it no longer is. It counts as open until the far side closed it.
-func (p *Pool) drop(c *conn, done func()) {
+// release gives up a connection whose request may still be running at the server,
+// and calls done when it no longer is. With Config.Linger the connection counts as
+// open until the server closes it.
+func (p *Pool) release(c *conn, done func()) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !p.cfg.Linger || !ok || tcp.CloseWrite() != nil {
-		p.end(c, done)
+		p.closeConn(c, done)
 		return
 	}
 	p.mu.Lock()
@@ -231,13 +235,13 @@
 	}
 	p.mu.Unlock()
 	go func() {
-		c.drain()
-		p.end(c, done)
+		c.discardUntilClose()
+		p.closeConn(c, done)
 	}()
 }
 
-// end closes a connection and counts it out.
-func (p *Pool) end(c *conn, done func()) {
+// closeConn closes a connection, removes it from the count and calls done.
+func (p *Pool) closeConn(c *conn, done func()) {
 	_ = c.Conn.Close()
 	p.mu.Lock()
 	delete(p.lingering, c)
--- a/internal/connection/upstream/request.go
+++ b/internal/connection/upstream/request.go
@@ -8,43 +8,44 @@
 	"time"
 )
 
-// Request is one request to be sent.
+// Request is a request to send.
 type Request struct {
 	Method string
-	// Target is the request target in origin form, as it is to be sent.
+	// Target is the request target in origin form, sent unchanged.
 	Target string
 	Host   string
-	// Header is sent but for the names that Skip reports; Added is sent besides
-	// and goes before an entry of the same name. Neither holds framing headers.
+	// Header is sent except for the names for which Skip returns true. Added is
+	// sent as well and replaces fields of Header with the same name. Neither
+	// contains framing headers.
 	Header http.Header
 	Skip   func(name string) bool
 	Added  http.Header
-	// Small is a whole body, sent with the header.
+	// Small is a complete body, sent together with the header.
 	Small []byte
-	// Body is streamed if it is not nil: Length bytes, or chunks if that is
-	// below 0, followed by Trailer.
+	// Body is streamed if it is not nil: Length bytes, or, if Length is negative,
+	// chunked and followed by Trailer.
 	Body    io.Reader
 	Length  int64
 	Trailer http.Header
-	// Expect waits for "100 Continue" before Body is begun.
+	// Expect delays sending Body until a "100 Continue" response.
 	Expect bool
-	// AbortBody must end a pending Read of Body.
+	// AbortBody must unblock a pending Read of Body.
 	AbortBody func()
-	// IdleAge is how long a connection may have been idle to be used; a request
-	// that may not be repeated takes only a recent one.
+	// IdleAge is the maximum time that a reused connection may have been idle. A
+	// request that must not be retried uses only a recently used connection.
 	IdleAge time.Duration
-	// Stall bounds each wait for bytes of the answer's body; 0 does not.
+	// Stall limits each wait for bytes of the response body; 0 means no limit.
 	Stall time.Duration
-	// Done is called exactly once, when the far side is done with the request,
-	// or never got it.
+	// Done is called exactly once, when the server has finished the request or it
+	// is certain that the server did not receive it.
 	Done func()
 }
 
-// heads are buffers for request headers.
-var heads = sync.Pool{New: func() any { b := make([]byte, 0, readBuffer); return &b }}
+// headerBuffers pools the buffers for request headers.
+var headerBuffers = sync.Pool{New: func() any { b := make([]byte, 0, readBufferSize); return &b }}
 
-// appendHead appends the header in wire form.
-func (r *Request) appendHead(b []byte) []byte {
+// appendHeader appends the request line and header in wire format.
+func (r *Request) appendHeader(b []byte) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.Target...)
@@ -73,7 +74,7 @@
 		}
 	case r.Body != nil:
 		b = appendField(b, "Content-Length", strconv.FormatInt(r.Length, 10))
-	case len(r.Small) > 0 || mayHaveBody(r.Method):
+	case len(r.Small) > 0 || definesBody(r.Method):
 		b = appendField(b, "Content-Length", strconv.Itoa(len(r.Small)))
 	}
 	if r.Expect && r.Body != nil {
@@ -82,8 +83,9 @@
 	return b
 }
 
-// mayHaveBody reports whether a body is usual, so that its absence is said.
-func mayHaveBody(method string) bool {
+// definesBody reports whether requests of the method usually have a body, so that
+// a missing one is sent as "Content-Length: 0".
+func definesBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
--- a/internal/connection/upstream/roundtrip.go
+++ b/internal/connection/upstream/roundtrip.go
@@ -10,20 +10,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// past ends pending reads and writes.
-var past = time.Unix(1, 0)
+// aLongTimeAgo is a deadline that makes pending reads and writes fail.
+var aLongTimeAgo = time.Unix(1, 0)
 
-// interimMax is the most 1xx answers to one request.
-const interimMax = 16
+// maxInterimResponses is the maximum number of 1xx responses to one request.
+const maxInterimResponses = 16
 
-// Failure tells how a request ended without an answer.
+// Failure describes how a request ended without a response.
 type Failure struct {
-	// Sent is false if the request certainly did not reach the far side whole:
-	// nobody took the connection, or its header was not written out.
+	// Sent is false if the server certainly did not receive the complete request:
+	// no connection was established, or the header was not written completely.
 	Sent bool
-	// Begun is set once a part of the streamed body was sent.
-	Begun bool
-	// Err is the cause; it is marked ErrBody if the request's own body failed.
+	// BodyStarted is true if sending the streamed body was started.
+	BodyStarted bool
+	// Err is the cause. It is marked with ErrBody if reading the request body
+	// failed.
 	Err error
 }
 
@@ -33,42 +34,44 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// exchange is one request and its answer on a connection.
+// exchange is a request and its response on a connection.
 type exchange struct {
 	pool    *Pool
 	conn    *conn
 	request *Request
 	upload  *upload
-	// release stops the watch for the context's end.
-	release func() bool
-	answer  *http.Response
-	once    sync.Once
+	// stopCancel unregisters the function that aborts I/O when the context ends.
+	// It returns false if that function was started.
+	stopCancel func() bool
+	response   *http.Response
+	once       sync.Once
 }
 
-// RoundTrip sends a request and returns the header of its answer; the body must
-// be closed. The end of ctx gives the request up, also while the body is read.
+// RoundTrip sends a request and returns the response with its header read; the
+// caller must close the body. When ctx ends, the request is canceled, also while
+// the body is being read.
 func (p *Pool) RoundTrip(ctx context.Context, r *Request) (*http.Response, *Failure) {
 	c, err := p.get(ctx, r.IdleAge)
 	if err != nil {
 		r.done()
 		return nil, &Failure{Err: err}
 	}
-	c.begin(ctx)
+	c.startRequest(ctx)
 	x := &exchange{pool: p, conn: c, request: r}
-	x.release = context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
-	if sent, err := x.writeHead(); err != nil {
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.SetDeadline(aLongTimeAgo) })
+	if sent, err := x.writeHeader(); err != nil {
 		return nil, x.fail(sent, err)
 	}
 	if r.Body != nil {
 		x.upload = newUpload(r, c)
 	}
-	resp, err := x.readAnswer()
+	resp, err := x.readResponse()
 	if err != nil {
 		return nil, x.fail(true, err)
 	}
-	c.left, c.stall = -1, r.Stall
-	x.answer = resp
-	resp.Body = &body{ReadCloser: resp.Body, exchange: x}
+	c.headerLeft, c.stallTimeout = -1, r.Stall
+	x.response = resp
+	resp.Body = &responseBody{ReadCloser: resp.Body, exchange: x}
 	return resp, nil
 }
 
@@ -78,70 +81,72 @@
 	}
 }
 
-// writeHead writes the header, and a small body with it. sent is true unless
-// the header certainly is not whole on the far side.
-func (x *exchange) writeHead() (sent bool, err error) {
-	buffer := heads.Get().(*[]byte)
-	defer heads.Put(buffer)
-	b := x.request.appendHead((*buffer)[:0])
-	head := len(b)
+// writeHeader writes the header together with a small body. sent is false only if
+// the server certainly did not receive the complete header.
+func (x *exchange) writeHeader() (sent bool, err error) {
+	buffer := headerBuffers.Get().(*[]byte)
+	defer headerBuffers.Put(buffer)
+	b := x.request.appendHeader((*buffer)[:0])
+	headerLen := len(b)
 	b = append(b, x.request.Small...)
 	*buffer = b
 	n, err := x.conn.Write(b)
-	return n >= head, err
+	return n >= headerLen, err
 }
 
-func (x *exchange) readAnswer() (*http.Response, error) {
+func (x *exchange) readResponse() (*http.Response, error) {
 	request := &http.Request{Method: x.request.Method}
-	for range interimMax {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(x.conn.br, request)
 		if err != nil {
 			return nil, err
 		}
 		switch {
 		case resp.StatusCode == http.StatusContinue && x.upload != nil:
-			x.upload.proceed()
+			x.upload.allowBody()
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errors.New("the protocol was switched unasked")
+			return nil, errors.New("unexpected 101 Switching Protocols response")
 		case resp.StatusCode >= http.StatusOK:
 			return resp, nil
 		}
 	}
-	return nil, errors.New("too many interim answers")
+	return nil, errors.New("too many interim responses")
 }
 
-// fail ends an exchange without an answer.
+// fail ends an exchange that got no response.
 func (x *exchange) fail(sent bool, err error) *Failure {
 	x.upload.stop()
-	f := &Failure{Sent: sent, Begun: x.upload.begun(), Err: err}
-	if x.upload.cut() {
+	f := &Failure{Sent: sent, BodyStarted: x.upload.started(), Err: err}
+	if x.upload.bodyFailed() {
 		f.Err = errors.Mark(err, ErrBody)
 	}
-	x.release()
-	x.pool.drop(x.conn, x.request.done)
+	x.stopCancel()
+	x.pool.release(x.conn, x.request.done)
 	return f
 }
 
-// finish ends an exchange with an answer, whole or not.
-func (x *exchange) finish(whole bool) {
+// finish ends an exchange that got a response. complete reports whether the
+// response body was read to its end.
+func (x *exchange) finish(complete bool) {
 	uploaded := x.upload.stop()
-	undisturbed := x.release()
-	if !whole || !uploaded || x.answer.Close || !undisturbed || x.conn.br.Buffered() > 0 {
-		x.pool.drop(x.conn, x.request.done)
+	notCanceled := x.stopCancel()
+	if !complete || !uploaded || x.response.Close || !notCanceled || x.conn.br.Buffered() > 0 {
+		x.pool.release(x.conn, x.request.done)
 		return
 	}
-	x.pool.put(x.conn)
+	x.pool.putIdle(x.conn)
 	x.request.done()
 }
 
-// body is the body of an answer. Its whole end gives the connection back.
-type body struct {
+// responseBody is the body of a response. Reading it to its end returns the connection to the
+// pool.
+type responseBody struct {
 	io.ReadCloser
 	exchange *exchange
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
 		b.exchange.once.Do(func() { b.exchange.finish(true) })
@@ -149,21 +154,22 @@
 	return n, err
 }
 
-// Close implements io.Closer. Before the whole end it gives the request up.
-func (b *body) Close() error {
+// Close implements io.Closer. It cancels the request if the body was not read to
+// its end.
+func (b *responseBody) Close() error {
 	b.exchange.once.Do(func() { b.exchange.finish(false) })
 	return nil
 }
 
-// chunkEnd is the size of what may follow the data of a chunk before the next
-// data: its line end and the next chunk's head.
-const chunkEnd = 6
+// maxChunkDelimiter is how many bytes may separate the data of two chunks: the
+// CRLF after the first and the size line of the second.
+const maxChunkDelimiter = 6
 
-// Buffered reports whether more of the answer's body, or its end, has arrived.
-func (b *body) Buffered() bool {
+// Buffered reports whether more of the response body, or its end, has arrived.
+func (b *responseBody) Buffered() bool {
 	n := b.exchange.conn.br.Buffered()
-	if b.exchange.answer.ContentLength < 0 {
-		return n > chunkEnd
+	if b.exchange.response.ContentLength < 0 {
+		return n > maxChunkDelimiter
 	}
 	return n > 0
 }
--- a/internal/connection/upstream/upload.go
+++ b/internal/connection/upstream/upload.go
@@ -11,39 +11,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBody marks a failure of the request's own body: its caller cut it.
-var ErrBody = errors.New("the request's body was cut")
+// ErrBody marks a failure to read the request body: the caller cut it off.
+var ErrBody = errors.New("request body ended prematurely")
 
-const uploadBuffer = 32 << 10
+const uploadBufferSize = 32 << 10
 
-var uploads = sync.Pool{New: func() any { return new([uploadBuffer]byte) }}
+var uploadBuffers = sync.Pool{New: func() any { return new([uploadBufferSize]byte) }}
 
-// upload sends a streamed body while the answer is awaited.
+// upload sends a streamed request body while RoundTrip waits for the response.
 type upload struct {
 	request *Request
 	conn    *conn
-	// start receives true when the body may be begun, or is closed if never.
-	start chan bool
-	// state moves once, from waiting to begun or to never.
+	// allowed receives true when the body may be sent, and is closed if it must not
+	// be sent.
+	allowed chan bool
+	// state changes once, from uploadWaiting to uploadStarted or uploadCanceled.
 	state atomic.Int32
-	// done is closed when nothing reads the body any more; err is valid then.
+	// done is closed when the body is no longer read; err is valid from then on.
 	done chan struct{}
 	err  error
 }
 
-// The states of an upload.
+// States of an upload.
 const (
-	waiting int32 = iota
-	begun
-	never
+	uploadWaiting int32 = iota
+	uploadStarted
+	uploadCanceled
 )
 
-func (u *upload) begun() bool { return u != nil && u.state.Load() == begun }
+func (u *upload) started() bool { return u != nil && u.state.Load() == uploadStarted }
 
 func newUpload(r *Request, c *conn) *upload {
-	u := &upload{request: r, conn: c, start: make(chan bool, 1), done: make(chan struct{})}
+	u := &upload{request: r, conn: c, allowed: make(chan bool, 1), done: make(chan struct{})}
 	if !r.Expect {
-		u.start <- true
+		u.allowed <- true
 	}
 	go u.run()
 	return u
@@ -51,31 +52,31 @@
 
 func (u *upload) run() {
 	defer close(u.done)
-	if !<-u.start || !u.state.CompareAndSwap(waiting, begun) {
+	if !<-u.allowed || !u.state.CompareAndSwap(uploadWaiting, uploadStarted) {
 		return
 	}
 	u.err = u.send()
 	if errors.Is(u.err, ErrBody) {
-		// The wait for the answer ends here: the request is not whole.
-		_ = u.conn.SetReadDeadline(past)
+		// Stop waiting for a response: the request is incomplete.
+		_ = u.conn.SetReadDeadline(aLongTimeAgo)
 	}
 }
 
-// proceed lets the body begin.
-func (u *upload) proceed() {
+// allowBody allows the body to be sent.
+func (u *upload) allowBody() {
 	select {
-	case u.start <- true:
+	case u.allowed <- true:
 	default:
 	}
 }
 
-// stop ends the upload and reports whether the whole body was sent.
+// stop ends the upload and reports whether the complete body was sent.
 func (u *upload) stop() bool {
 	if u == nil {
 		return true
 	}
-	if u.state.CompareAndSwap(waiting, never) {
-		close(u.start)
+	if u.state.CompareAndSwap(uploadWaiting, uploadCanceled) {
+		close(u.allowed)
 		<-u.done
 		return false
 	}
@@ -84,49 +85,51 @@
 		return u.err == nil
 	default:
 	}
-	_ = u.conn.SetWriteDeadline(past)
+	_ = u.conn.SetWriteDeadline(aLongTimeAgo)
 	if u.request.AbortBody != nil {
 		u.request.AbortBody()
 	}
 	<-u.done
 	if u.err == nil {
-		// It ended in this very moment: the connection may be used again.
+		// The upload completed in the meantime: the connection may be reused.
 		_ = u.conn.SetWriteDeadline(time.Time{})
 	}
 	return u.err == nil
 }
 
-// cut reports whether the body's own end failed; only after stop.
-func (u *upload) cut() bool { return u != nil && errors.Is(u.err, ErrBody) }
+// bodyFailed reports whether reading the request body failed. It must be called
+// after stop.
+func (u *upload) bodyFailed() bool { return u != nil && errors.Is(u.err, ErrBody) }
 
 func (u *upload) send() error {
-	buffer := uploads.Get().(*[uploadBuffer]byte)
-	defer uploads.Put(buffer)
+	buffer := uploadBuffers.Get().(*[uploadBufferSize]byte)
+	defer uploadBuffers.Put(buffer)
 	if u.request.Length < 0 {
 		return u.sendChunks(buffer[:])
 	}
-	for left := u.request.Length; left > 0; {
-		n, err := u.request.Body.Read(buffer[:min(left, uploadBuffer)])
-		left -= int64(n)
-		if _, werr := u.conn.Write(buffer[:n]); werr != nil {
-			return werr
+	for remaining := u.request.Length; remaining > 0; {
+		n, err := u.request.Body.Read(buffer[:min(remaining, uploadBufferSize)])
+		remaining -= int64(n)
+		if _, writeErr := u.conn.Write(buffer[:n]); writeErr != nil {
+			return writeErr
 		}
-		if err != nil && left > 0 {
+		if err != nil && remaining > 0 {
 			return errors.Mark(err, ErrBody)
 		}
 	}
 	return nil
 }
 
-// chunkHead is the room for a chunk's size before its data.
-const chunkHead = 8
+// maxChunkHeader is the space reserved for the size line before the data of a
+// chunk.
+const maxChunkHeader = 8
 
 func (u *upload) sendChunks(buffer []byte) error {
 	for {
-		n, err := u.request.Body.Read(buffer[chunkHead : len(buffer)-2])
+		n, err := u.request.Body.Read(buffer[maxChunkHeader : len(buffer)-2])
 		if n > 0 {
-			if _, werr := u.conn.Write(frame(buffer, n)); werr != nil {
-				return werr
+			if _, writeErr := u.conn.Write(frameChunk(buffer, n)); writeErr != nil {
+				return writeErr
 			}
 		}
 		if err == io.EOF {
@@ -139,14 +142,14 @@
 	}
 }
 
-// frame puts the chunk's size before and a line end behind its n bytes.
-func frame(buffer []byte, n int) []byte {
-	var size [chunkHead]byte
-	text := append(strconv.AppendInt(size[:0], int64(n), 16), "\r\n"...)
-	begin := chunkHead - len(text)
-	copy(buffer[begin:], text)
-	copy(buffer[chunkHead+n:], "\r\n")
-	return buffer[begin : chunkHead+n+2]
+// frameChunk puts the size line before and a CRLF after the n bytes of a chunk.
+func frameChunk(buffer []byte, n int) []byte {
+	var size [maxChunkHeader]byte
+	header := append(strconv.AppendInt(size[:0], int64(n), 16), "\r\n"...)
+	start := maxChunkHeader - len(header)
+	copy(buffer[start:], header)
+	copy(buffer[maxChunkHeader+n:], "\r\n")
+	return buffer[start : maxChunkHeader+n+2]
 }
 
 func (u *upload) lastChunk() []byte {
