--- a/internal/connection/upstream/pool.go
+++ b/internal/connection/upstream/pool.go
@@ -1,7 +1,7 @@
 // Package upstream is the HTTP/1.1 client that forwards requests to backend
-// servers and to other daemons. Unlike http.Transport it never retries a request
-// by itself, it reports exactly whether a request was sent, and it reports when
-// the server has finished a request that was canceled.
+// servers and to other daemons. Unlike http.Transport it never retries a
+// request by itself, it reports exactly whether a request was sent, and it
+// reports when the server has finished a request that was canceled.
 package upstream
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrConnectionLimit is returned when all connections that the pool may open are
-// in use.
+// ErrConnectionLimit is returned when all connections that the pool may open
+// are in use.
 var ErrConnectionLimit = errors.New("all connections are in use")
 
 // Config is the immutable configuration of a Pool.
@@ -68,8 +68,8 @@
 	return p.total
 }
 
-// Close closes idle and lingering connections. Connections in use are closed when
-// their request ends.
+// Close closes idle and lingering connections. Connections in use are closed
+// when their request ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -85,8 +85,8 @@
 }
 
 // get returns a connection that was idle for at most maxIdle, or a new one. At
-// the connection limit it returns one that was idle for longer, or else waits up
-// to Config.DialTimeout for a connection to be closed.
+// the connection limit it returns one that was idle for longer, or else waits
+// up to Config.DialTimeout for a connection to be closed.
 func (p *Pool) get(ctx context.Context, maxIdle time.Duration) (*conn, error) {
 	for start := time.Now(); ; {
 		c, err := p.takeIdle(maxIdle)
@@ -124,8 +124,8 @@
 	return nil, nil
 }
 
-// freedPollInterval limits one wait for a freed connection, since one signal may
-// stand for several.
+// freedPollInterval limits one wait for a freed connection, since one signal
+// may stand for several.
 const freedPollInterval = 5 * time.Millisecond
 
 // waitForFreed waits until a connection was closed or freedPollInterval has
@@ -142,9 +142,9 @@
 	return true
 }
 
-// dial opens a connection. If ctx ends first, the connection is added to the idle
-// ones when it is established: canceling the dial could leave an open connection
-// at the server.
+// dial opens a connection. If ctx ends first, the connection is added to the
+// idle ones when it is established: canceling the dial could leave an open
+// connection at the server.
 func (p *Pool) dial(ctx context.Context) (*conn, error) {
 	type dialResult struct {
 		conn *conn
@@ -183,7 +183,8 @@
 	return c, nil
 }
 
-// putIdle returns a connection to the pool after a complete request and response.
+// putIdle returns a connection to the pool after a complete request and
+// response.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	keep := !p.closed && len(p.idle) < p.cfg.IdleMax
@@ -219,9 +220,9 @@
 	}
 }
 
-// release gives up a connection whose request may still be running at the server,
-// and calls done when it no longer is. With Config.Linger the connection counts as
-// open until the server closes it.
+// release gives up a connection whose request may still be running at the
+// server, and calls done when it no longer is. With Config.Linger the
+// connection counts as open until the server closes it.
 func (p *Pool) release(c *conn, done func()) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !p.cfg.Linger || !ok || tcp.CloseWrite() != nil {
--- a/internal/connection/upstream/request.go
+++ b/internal/connection/upstream/request.go
@@ -22,8 +22,8 @@
 	Added  http.Header
 	// Small is a complete body, sent together with the header.
 	Small []byte
-	// Body is streamed if it is not nil: Length bytes, or, if Length is negative,
-	// chunked and followed by Trailer.
+	// Body is streamed if it is not nil: Length bytes, or, if Length is
+	// negative, chunked and followed by Trailer.
 	Body    io.Reader
 	Length  int64
 	Trailer http.Header
@@ -31,13 +31,13 @@
 	Expect bool
 	// AbortBody must unblock a pending Read of Body.
 	AbortBody func()
-	// IdleAge is the maximum time that a reused connection may have been idle. A
-	// request that must not be retried uses only a recently used connection.
+	// IdleAge is the maximum time that a reused connection may have been idle.
+	// A request that must not be retried uses only a recently used connection.
 	IdleAge time.Duration
 	// Stall limits each wait for bytes of the response body; 0 means no limit.
 	Stall time.Duration
-	// Done is called exactly once, when the server has finished the request or it
-	// is certain that the server did not receive it.
+	// Done is called exactly once, when the server has finished the request or
+	// it is certain that the server did not receive it.
 	Done func()
 }
 
@@ -83,8 +83,8 @@
 	return b
 }
 
-// definesBody reports whether requests of the method usually have a body, so that
-// a missing one is sent as "Content-Length: 0".
+// definesBody reports whether requests of the method usually have a body, so
+// that a missing one is sent as "Content-Length: 0".
 func definesBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/connection/upstream/roundtrip.go
+++ b/internal/connection/upstream/roundtrip.go
@@ -18,8 +18,9 @@
 
 // Failure describes how a request ended without a response.
 type Failure struct {
-	// Sent is false if the server certainly did not receive the complete request:
-	// no connection was established, or the header was not written completely.
+	// Sent is false if the server certainly did not receive the complete
+	// request: no connection was established, or the header was not written
+	// completely.
 	Sent bool
 	// BodyStarted is true if sending the streamed body was started.
 	BodyStarted bool
@@ -40,16 +41,16 @@
 	conn    *conn
 	request *Request
 	upload  *upload
-	// stopCancel unregisters the function that aborts I/O when the context ends.
-	// It returns false if that function was started.
+	// stopCancel unregisters the function that aborts I/O when the context
+	// ends. It returns false if that function was started.
 	stopCancel func() bool
 	response   *http.Response
 	once       sync.Once
 }
 
 // RoundTrip sends a request and returns the response with its header read; the
-// caller must close the body. When ctx ends, the request is canceled, also while
-// the body is being read.
+// caller must close the body. When ctx ends, the request is canceled, also
+// while the body is being read.
 func (p *Pool) RoundTrip(ctx context.Context, r *Request) (*http.Response, *Failure) {
 	c, err := p.get(ctx, r.IdleAge)
 	if err != nil {
@@ -81,8 +82,8 @@
 	}
 }
 
-// writeHeader writes the header together with a small body. sent is false only if
-// the server certainly did not receive the complete header.
+// writeHeader writes the header together with a small body. sent is false only
+// if the server certainly did not receive the complete header.
 func (x *exchange) writeHeader() (sent bool, err error) {
 	buffer := headerBuffers.Get().(*[]byte)
 	defer headerBuffers.Put(buffer)
@@ -138,8 +139,8 @@
 	x.request.done()
 }
 
-// responseBody is the body of a response. Reading it to its end returns the connection to the
-// pool.
+// responseBody is the body of a response. Reading it to its end returns the
+// connection to the pool.
 type responseBody struct {
 	io.ReadCloser
 	exchange *exchange
@@ -154,8 +155,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. It cancels the request if the body was not read to
-// its end.
+// Close implements io.Closer. It cancels the request if the body was not read
+// to its end.
 func (b *responseBody) Close() error {
 	b.exchange.once.Do(func() { b.exchange.finish(false) })
 	return nil
--- a/internal/connection/upstream/upload.go
+++ b/internal/connection/upstream/upload.go
@@ -22,12 +22,14 @@
 type upload struct {
 	request *Request
 	conn    *conn
-	// allowed receives true when the body may be sent, and is closed if it must not
-	// be sent.
+	// allowed receives true when the body may be sent, and is closed if it must
+	// not be sent.
 	allowed chan bool
-	// state changes once, from uploadWaiting to uploadStarted or uploadCanceled.
+	// state changes once, from uploadWaiting to uploadStarted or
+	// uploadCanceled.
 	state atomic.Int32
-	// done is closed when the body is no longer read; err is valid from then on.
+	// done is closed when the body is no longer read; err is valid from then
+	// on.
 	done chan struct{}
 	err  error
 }
