--- a/internal/connection/graceful/conn.go
+++ b/internal/connection/graceful/conn.go
@@ -7,101 +7,106 @@
 	"time"
 )
 
-// phase is what a connection is doing. It only moves from idle to busy and
-// back, or from idle to retired, which is the end.
-type phase uint8
+// connState is the state of a connection. It changes from new to active, then
+// alternates between active and idle. A new or idle connection can become
+// retired, which is final.
+type connState uint8
 
 const (
-	// fresh is before the first request: nothing was answered yet.
-	fresh phase = iota
-	busy
-	idle
-	retired
+	// stateNew is the state before the first request.
+	stateNew connState = iota
+	stateActive
+	stateIdle
+	stateRetired
 )
 
-// conn is one followed connection.
+// conn is a connection registered with a Tracker.
 type conn struct {
 	net.Conn
 	mu      sync.Mutex
-	phase   phase
+	state   connState
 	framing framing
 }
 
-// Read implements net.Conn. What arrives after retirement is never handed to
-// the server.
+// Read implements net.Conn. Data that arrives after the connection was retired
+// is never passed to the server.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	if !c.begin() {
+	if !c.setActive() {
 		return 0, io.EOF
 	}
 	c.mu.Lock()
-	c.framing.take(p[:n])
+	c.framing.inspect(p[:n])
 	c.mu.Unlock()
 	return n, err
 }
 
-// begin marks the connection as busy, unless it is retired.
-func (c *conn) begin() bool {
+// setActive marks the connection as active and returns true, unless it is
+// retired.
+func (c *conn) setActive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == retired {
+	if c.state == stateRetired {
 		return false
 	}
-	c.phase = busy
+	c.state = stateActive
 	return true
 }
 
 func (c *conn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.framing.next()
-	if c.phase == busy {
-		c.phase = idle
+	c.framing.startHeader()
+	if c.state == stateActive {
+		c.state = stateIdle
 	}
 }
 
 func (c *conn) setRetired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != idle && c.phase != fresh {
+	if c.state != stateIdle && c.state != stateNew {
 		return false
 	}
-	c.phase = retired
+	c.state = stateRetired
 	return true
 }
 
-// Close implements net.Conn. A retired connection is closed by sayLast.
+// Close implements net.Conn. For a retired connection it does nothing, because
+// writeFinalResponse closes it.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	ended := c.phase == retired
+	isRetired := c.state == stateRetired
 	c.mu.Unlock()
-	if ended {
+	if isRetired {
 		return nil
 	}
 	return c.Conn.Close()
 }
 
-// sayLast writes the last answer, ends the sending half, and waits for the
-// client to close: closing at once would reset the connection under a request
-// on its way, and the client might never read the answer.
-func (c *conn) sayLast(answer []byte) {
+// writeFinalResponse writes the final response, closes the sending side, and
+// waits for the client to close, for at most lingerTimeout. Closing immediately
+// would reset the connection if a request is in transit, and the client might
+// never read the response.
+func (c *conn) writeFinalResponse(response []byte) {
 	defer func() { _ = c.Conn.Close() }()
-	_ = c.SetDeadline(time.Now().Add(linger))
-	if _, err := c.Write(answer); err != nil {
+	_ = c.SetDeadline(time.Now().Add(lingerTimeout))
+	if _, err := c.Write(response); err != nil {
 		return
 	}
 	_ = c.CloseWrite()
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
-// CloseWrite ends the sending half. net/http looks for it before it drops a
-// connection that still sends, so that its last answer is not reset away.
+// CloseWrite closes the sending side. net/http calls it before it closes a
+// connection whose client is still sending, so that a reset does not discard
+// the last response.
 func (c *conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
--- a/internal/connection/graceful/framing.go
+++ b/internal/connection/graceful/framing.go
@@ -8,99 +8,103 @@
 	"strings"
 )
 
-// maxHead bounds what is looked at of a request's header; net/http has its own,
-// lower bound on what it takes.
-const maxHead = 1 << 20
+// maxHeaderBytes limits how much of a request header is inspected. net/http has
+// its own, lower limit on the headers it accepts.
+const maxHeaderBytes = 1 << 20
 
-var headEnd = []byte("\r\n\r\n")
+var headerEnd = []byte("\r\n\r\n")
 
-// framing watches the headers of the requests on one connection for two
-// framings at once, Content-Length and Transfer-Encoding (RFC 9112, section
-// 6.3): net/http goes by the chunks and runs what follows them as a second
-// request, where another reader on the way went by the length.
+// framing inspects the request headers on one connection for conflicting
+// framing, that is both Content-Length and Transfer-Encoding (RFC 9112, section
+// 6.3). net/http uses the chunked encoding and would run the bytes after the
+// last chunk as a second request, where an intermediary may have used
+// Content-Length (request smuggling).
 type framing struct {
-	// head is what came of a header that has not ended yet; nil while a body
-	// flows.
-	head    []byte
-	reading bool
-	// seen counts the headers that ended, served the requests handed on.
-	seen, served int
-	// twice is set when the last header framed its body twice.
-	twice bool
+	// header is the part of the current header that was read, and inHeader
+	// reports whether that header is still incomplete.
+	header   []byte
+	inHeader bool
+	// headersInspected counts the complete headers inspected, requestsServed
+	// the requests passed to the handler.
+	headersInspected, requestsServed int
+	// conflicting reports whether the last inspected header had both framings.
+	conflicting bool
 }
 
-// next begins the header of another request.
-func (f *framing) next() { f.head, f.reading = f.head[:0], true }
+// startHeader starts inspecting the header of the next request.
+func (f *framing) startHeader() { f.header, f.inHeader = f.header[:0], true }
 
-// take looks at bytes that were read.
-func (f *framing) take(p []byte) {
-	if !f.reading {
+// inspect processes bytes that were read from the connection.
+func (f *framing) inspect(p []byte) {
+	if !f.inHeader {
 		return
 	}
-	f.head = append(f.head, p...)
-	end := bytes.Index(f.head, headEnd)
+	f.header = append(f.header, p...)
+	end := bytes.Index(f.header, headerEnd)
 	if end < 0 {
-		f.reading = len(f.head) <= maxHead
+		f.inHeader = len(f.header) <= maxHeaderBytes
 		return
 	}
-	f.twice = framedTwice(string(f.head[:end]))
-	f.reading = false
-	f.seen++
+	f.conflicting = hasConflictingFraming(string(f.header[:end]))
+	f.inHeader = false
+	f.headersInspected++
 }
 
-// framedTwice reports whether a header has both framings.
-func framedTwice(head string) bool {
-	length, chunks := false, false
-	for line := range strings.SplitSeq(head, "\r\n") {
+// hasConflictingFraming reports whether a header has both Content-Length and
+// Transfer-Encoding.
+func hasConflictingFraming(header string) bool {
+	hasLength, hasEncoding := false, false
+	for line := range strings.SplitSeq(header, "\r\n") {
 		name, _, _ := strings.Cut(line, ":")
-		length = length || strings.EqualFold(name, "Content-Length")
-		chunks = chunks || strings.EqualFold(name, "Transfer-Encoding")
+		hasLength = hasLength || strings.EqualFold(name, "Content-Length")
+		hasEncoding = hasEncoding || strings.EqualFold(name, "Transfer-Encoding")
 	}
-	return length && chunks
+	return hasLength && hasEncoding
 }
 
-// serve counts a request that is handed on. watched is false if its header was
-// read together with the request before it, and not looked at.
-func (f *framing) serve() (twice, watched bool) {
-	f.served++
-	watched = f.served == f.seen
-	f.served = f.seen
-	return f.twice && watched, watched
+// countServed counts a request that is passed to the handler. inspected is
+// false if its header was read together with the previous request and was not
+// inspected.
+func (f *framing) countServed() (conflicting, inspected bool) {
+	f.requestsServed++
+	inspected = f.requestsServed == f.headersInspected
+	f.requestsServed = f.headersInspected
+	return f.conflicting && inspected, inspected
 }
 
-// refuseFraming answers a request that is framed twice, and keeps a connection
-// from being used again behind a chunked request that was not looked at. It
-// reports whether it answered.
-func refuseFraming(c *conn, w http.ResponseWriter, r *http.Request) bool {
+// rejectConflictingFraming responds with 400 to a request with conflicting
+// framing. It also prevents reuse of the connection after a chunked request
+// whose header was not inspected. It reports whether it sent a response.
+func rejectConflictingFraming(c *conn, w http.ResponseWriter, r *http.Request) bool {
 	c.mu.Lock()
-	twice, watched := c.framing.serve()
+	conflicting, inspected := c.framing.countServed()
 	c.mu.Unlock()
-	if twice {
+	if conflicting {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "the request has both Content-Length and Transfer-Encoding", http.StatusBadRequest)
 		return true
 	}
-	if !watched && len(r.TransferEncoding) > 0 {
+	if !inspected && len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	return false
 }
 
-// Reset makes the connection of a request end with a reset and not with an end
-// of file. To a caller of HTTP/1.0 an answer without a length that ends with an
-// end of file is whole.
+// Reset makes the connection of a request close with a TCP reset instead of an
+// orderly EOF. An HTTP/1.0 client would take a response without a length that
+// ends with EOF as complete.
 func Reset(ctx context.Context) {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return
 	}
-	if tcp, ok := innermost(c.Conn).(*net.TCPConn); ok {
+	if tcp, ok := unwrapConn(c.Conn).(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// innermost unwraps a connection.
-func innermost(c net.Conn) net.Conn {
+// unwrapConn returns the innermost wrapped connection.
+func unwrapConn(c net.Conn) net.Conn {
 	for {
 		inner, ok := c.(interface{ Unwrap() net.Conn })
 		if !ok {
--- a/internal/connection/graceful/framing_test.go
+++ b/internal/connection/graceful/framing_test.go
@@ -12,9 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// exchange sends text on a new connection and returns the status of each answer
-// until the connection ends.
-func exchange(c *qt.C, addr, text string) (statuses []int) {
+// sendAll sends text on a new connection and returns the status codes of all
+// responses until the connection ends.
+func sendAll(c *qt.C, addr, text string) (statuses []int) {
 	client, err := net.Dial("tcp", addr)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = client.Close() }()
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestTwoFramings sends requests that two readers would end at different places:
-// nothing runs behind what one of them takes for the end.
+// TestTwoFramings guards against request smuggling: two HTTP parsers can
+// disagree on where a request with both Content-Length and Transfer-Encoding
+// ends, so nothing after either end may run.
 func TestTwoFramings(t *testing.T) {
 	const (
 		both    = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
@@ -40,7 +41,7 @@
 		plain   = "POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx"
 		hidden  = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
 	)
-	for name, row := range map[string]struct {
+	for name, tc := range map[string]struct {
 		text string
 		want []int
 		runs int32
@@ -54,28 +55,28 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var runs atomic.Int32
-			s := start(c, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+			s := startServer(c, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
 				_, _ = io.Copy(io.Discard, r.Body)
 			}))
-			c.Check(exchange(c, s.addr, row.text), qt.DeepEquals, row.want)
-			c.Check(runs.Load(), qt.Equals, row.runs)
+			c.Check(sendAll(c, s.addr, tc.text), qt.DeepEquals, tc.want)
+			c.Check(runs.Load(), qt.Equals, tc.runs)
 		})
 	}
 }
 
-// TestFramingsOfLaterRequests holds that each request on a kept connection is
-// looked at.
+// TestFramingsOfLaterRequests verifies that the header of every request on a
+// keep-alive connection is inspected.
 func TestFramingsOfLaterRequests(t *testing.T) {
 	c := qt.New(t)
 	var runs atomic.Int32
-	s := start(c, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
+	s := startServer(c, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	client, err := net.Dial("tcp", s.addr)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = client.Close() }()
 	reader := bufio.NewReader(client)
 	for range 3 {
-		c.Assert(ask(client, reader), qt.Equals, http.StatusOK)
+		c.Assert(get(client, reader), qt.Equals, http.StatusOK)
 	}
 	_, err = io.WriteString(client, "POST / HTTP/1.1\r\nHost: a\r\ntransfer-encoding: chunked\r\ncontent-length: 9\r\n\r\n0\r\n\r\n")
 	c.Assert(err, qt.IsNil)
@@ -85,10 +86,11 @@
 	c.Check(runs.Load(), qt.Equals, int32(3))
 }
 
-// TestResetIsSeen holds that a caller of HTTP/1.0 sees a cut answer as cut.
+// TestResetIsSeen verifies that an HTTP/1.0 client sees a connection reset when
+// a response is truncated.
 func TestResetIsSeen(t *testing.T) {
 	c := qt.New(t)
-	s := start(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
 		Reset(r.Context())
--- a/internal/connection/graceful/graceful.go
+++ b/internal/connection/graceful/graceful.go
@@ -1,16 +1,19 @@
-// Package graceful stops an HTTP/1.1 server without leaving a caller in doubt.
+// Package graceful shuts down an HTTP/1.1 server so that every client knows
+// whether its last request was executed.
 //
-// http.Server.Shutdown closes idle connections. A request that is on its way
-// at that moment meets a closed connection, and its caller cannot know whether
-// it ran. Retire instead answers each idle connection once more, with a 408
-// that says "not run" and closes (RFC 9110, section 15.5.9, lets a server do
-// so on an idle connection), and reads nothing from it afterwards. A request
-// that crosses the answer takes it as its own, and it is true.
+// http.Server.Shutdown closes idle connections. A request in transit at that
+// moment arrives at a closed connection, and its client cannot know whether it
+// was executed. Retire instead sends a final response on each idle connection,
+// a 408 with the outcome "not run", and closes the connection (RFC 9110,
+// section 15.5.9, allows this on an idle connection). It passes no data from
+// the connection to the server afterwards. A client that sent a request in the
+// meantime takes the 408 as the response to it, which is correct because the
+// request is not executed.
 //
-// Use: wrap the listener with Listen, set Server.ConnState and ConnContext to
-// those of the Tracker, wrap the handler with Guard; at the stop, first answer
-// everything with "Connection: close" for a while, then call Drain, Retire and
-// Server.Shutdown, in this order.
+// To use it, wrap the listener with Listen, set Server.ConnState and
+// ConnContext to the methods of the Tracker, and wrap the handler with Guard.
+// On shutdown, first send "Connection: close" with every response for a while,
+// then call Drain, Retire and Server.Shutdown, in this order.
 package graceful
 
 import (
@@ -22,85 +25,92 @@
 )
 
 const (
-	// quiet is how long no connection may have come before Drain closes.
-	quiet = 20 * time.Millisecond
-	// linger is how long a retired connection waits for its client to close.
-	linger = 500 * time.Millisecond
+	// quietPeriod is how long no connection may arrive before Drain closes the
+	// listener.
+	quietPeriod = 20 * time.Millisecond
+	// lingerTimeout is how long a retired connection waits for its client to
+	// close.
+	lingerTimeout = 500 * time.Millisecond
 )
 
-// Tracker knows the connections of one server.
+// Tracker tracks the connections of one server.
 type Tracker struct {
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	// retiring is set once; from then on idle connections are answered.
-	retiring bool
-	answer   []byte
-	wait     sync.WaitGroup
+	// retiring is set once by Retire; from then on connections are retired when
+	// they become idle.
+	retiring      bool
+	finalResponse []byte
+	// writers waits for the goroutines that write final responses.
+	writers sync.WaitGroup
 }
 
-// NewTracker returns a Tracker whose last answer on an idle connection is
-// answer, a whole HTTP/1.1 response that says "Connection: close".
-func NewTracker(answer []byte) *Tracker {
-	return &Tracker{conns: map[*conn]struct{}{}, answer: answer}
+// NewTracker returns a Tracker that sends finalResponse on idle connections
+// before it closes them. It must be a complete HTTP/1.1 response with
+// "Connection: close".
+func NewTracker(finalResponse []byte) *Tracker {
+	return &Tracker{conns: map[*conn]struct{}{}, finalResponse: finalResponse}
 }
 
-// Listener accepts connections that a Tracker follows.
+// Listener accepts connections and registers them with a Tracker.
 type Listener struct {
 	net.Listener
 	deadline Deadline
 	tracker  *Tracker
 	mu       sync.Mutex
-	// closing is when Drain began; zero before.
-	closing time.Time
-	limit   time.Duration
-	done    chan struct{}
+	// drainStart is when Drain was called; zero before.
+	drainStart time.Time
+	drainLimit time.Duration
+	done       chan struct{}
 }
 
-// Deadline is the part of *net.TCPListener that Drain needs.
+// Deadline is the method of *net.TCPListener that Drain needs.
 type Deadline interface{ SetDeadline(time.Time) error }
 
-// Listen wraps l, whose connections come from the listener behind deadline.
+// Listen wraps l. deadline is the TCP listener from which l accepts its
+// connections.
 func (t *Tracker) Listen(l net.Listener, deadline Deadline) *Listener {
 	return &Listener{Listener: l, deadline: deadline, tracker: t, done: make(chan struct{})}
 }
 
-// Accept implements net.Listener. While draining it returns what still comes,
-// and net.ErrClosed once nothing came for a moment.
+// Accept implements net.Listener. While draining it returns connections that
+// still arrive, and net.ErrClosed when none arrived for quietPeriod.
 func (l *Listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err == nil {
-		l.extend()
+		l.extendDeadline()
 		return l.tracker.track(accepted), nil
 	}
 	if !l.draining() {
 		return nil, err
 	}
-	if late := acceptPending(l.deadline); late != nil {
-		l.extend()
-		return l.tracker.track(late), nil
+	if pending := acceptPending(l.deadline); pending != nil {
+		l.extendDeadline()
+		return l.tracker.track(pending), nil
 	}
 	_ = l.Listener.Close()
-	l.finish()
+	l.closeDone()
 	return nil, net.ErrClosed
 }
 
 func (l *Listener) draining() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.closing.IsZero()
+	return !l.drainStart.IsZero()
 }
 
-// extend waits for the next quiet moment, within the limit of Drain.
-func (l *Listener) extend() {
+// extendDeadline restarts the quiet period while draining, until the limit of
+// Drain has passed.
+func (l *Listener) extendDeadline() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closing.IsZero() || time.Since(l.closing) > l.limit {
+	if l.drainStart.IsZero() || time.Since(l.drainStart) > l.drainLimit {
 		return
 	}
-	_ = l.deadline.SetDeadline(time.Now().Add(quiet))
+	_ = l.deadline.SetDeadline(time.Now().Add(quietPeriod))
 }
 
-func (l *Listener) finish() {
+func (l *Listener) closeDone() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -110,14 +120,15 @@
 	}
 }
 
-// Drain accepts until no connection comes for a moment, limit at most, and
-// closes the listener at such a moment: connections that wait to be accepted
-// when a listener closes are reset. The server must be serving.
+// Drain keeps accepting until no connection has arrived for quietPeriod, or
+// until limit has passed, and then closes the listener. It waits for a quiet
+// period because connections still in the backlog are reset when a listener
+// closes. The server must be serving.
 func (l *Listener) Drain(limit time.Duration) {
 	l.mu.Lock()
-	l.closing = time.Now()
-	l.limit = limit
-	err := l.deadline.SetDeadline(l.closing.Add(quiet))
+	l.drainStart = time.Now()
+	l.drainLimit = limit
+	err := l.deadline.SetDeadline(l.drainStart.Add(quietPeriod))
 	l.mu.Unlock()
 	if err != nil {
 		return
@@ -130,14 +141,14 @@
 
 func (t *Tracker) track(accepted net.Conn) net.Conn {
 	c := &conn{Conn: accepted}
-	c.framing.next()
+	c.framing.startHeader()
 	t.mu.Lock()
 	t.conns[c] = struct{}{}
 	t.mu.Unlock()
 	return c
 }
 
-// ConnState is the server's hook of this name.
+// ConnState implements the http.Server.ConnState hook.
 func (t *Tracker) ConnState(accepted net.Conn, state http.ConnState) {
 	c, ok := accepted.(*conn)
 	if !ok {
@@ -161,20 +172,21 @@
 
 type connKey struct{}
 
-// ConnContext is the server's hook of this name.
+// ConnContext implements the http.Server.ConnContext hook.
 func (t *Tracker) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Guard keeps a request from running that a client sent ahead, in one piece
-// with the one before, on a connection that is retired.
+// Guard wraps a handler. It aborts a pipelined request that was read together
+// with the previous one if the connection has been retired since, and it
+// rejects requests with conflicting framing.
 func (t *Tracker) Guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-			if !c.begin() {
+			if !c.setActive() {
 				panic(http.ErrAbortHandler)
 			}
-			if refuseFraming(c, w, r) {
+			if rejectConflictingFraming(c, w, r) {
 				return
 			}
 		}
@@ -182,8 +194,9 @@
 	})
 }
 
-// Retire answers every idle connection once more and closes it, then does the
-// same with each that becomes idle. It returns when the idle ones are closed.
+// Retire sends the final response on every idle connection and closes it, and
+// does the same with each connection that becomes idle later. It returns when
+// the connections that were idle at the call are closed.
 func (t *Tracker) Retire() {
 	t.mu.Lock()
 	t.retiring = true
@@ -195,12 +208,12 @@
 	for _, c := range conns {
 		t.retire(c)
 	}
-	t.wait.Wait()
+	t.writers.Wait()
 }
 
 func (t *Tracker) retire(c *conn) {
 	if !c.setRetired() {
 		return
 	}
-	t.wait.Go(func() { c.sayLast(t.answer) })
+	t.writers.Go(func() { c.writeFinalResponse(t.finalResponse) })
 }
--- a/internal/connection/graceful/pending.go
+++ b/internal/connection/graceful/pending.go
@@ -6,27 +6,28 @@
 	"syscall"
 )
 
-// acceptPending takes one connection that already waits, or returns nil. The
-// caller closes the listener right after a nil: on a busy machine the time
-// between the end of a deadline and that close is milliseconds, and what comes
-// in it would be reset.
+// acceptPending accepts a connection from the listen backlog without blocking,
+// or returns nil if there is none. The caller closes the listener right after a
+// nil. On a busy machine there are milliseconds between the expiry of the
+// accept deadline and that close, and connections arriving in between would be
+// reset.
 func acceptPending(listener Deadline) net.Conn {
-	raw, ok := listener.(syscall.Conn)
+	sysConn, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	control, err := raw.SyscallConn()
+	rawConn, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
-	accepted := -1
-	err = control.Control(func(fd uintptr) {
-		accepted, _, _ = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	acceptedFD := -1
+	err = rawConn.Control(func(fd uintptr) {
+		acceptedFD, _, _ = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	})
-	if err != nil || accepted < 0 {
+	if err != nil || acceptedFD < 0 {
 		return nil
 	}
-	file := os.NewFile(uintptr(accepted), "accepted")
+	file := os.NewFile(uintptr(acceptedFD), "accepted")
 	defer func() { _ = file.Close() }()
 	conn, err := net.FileConn(file)
 	if err != nil {
