--- a/internal/connection/limit/listener.go
+++ b/internal/connection/limit/listener.go
@@ -1,6 +1,7 @@
-// Package limit bounds what one listener takes in: how many connections are
-// open, and how long one may stand still. What is above a bound is told so at
-// once, with a numbered result code, and costs the others nothing.
+// Package limit limits how many connections of one listener may be open, and
+// how long writing to one of them may stall. A connection above the limit is
+// refused immediately with a result code and does not affect the other
+// connections.
 package limit
 
 import (
@@ -14,49 +15,51 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Config is fixed for the life of a Listener.
+// Config is the immutable configuration of a Listener.
 type Config struct {
-	// Connections is the most connections open at a time.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// StallTimeout cuts a connection to which no byte could be written for this
-	// long.
+	// StallTimeout is the write timeout: it closes a connection to which no
+	// byte could be written for this long.
 	StallTimeout time.Duration
 }
 
 const (
-	// refuseTimeout bounds the answer to a connection above the limit, and
-	// refusing how many are answered at a time; the rest is closed unanswered.
+	// refuseTimeout limits the time for sending a response on a connection
+	// above the limit, and maxRefusals how many such responses are sent
+	// concurrently. Further connections are closed without a response.
 	refuseTimeout = time.Second
-	refusing      = 64
-	// retryAfter is what a refused connection is told.
+	maxRefusals   = 64
+	// retryAfter is the Retry-After value sent on a refused connection.
 	retryAfter = time.Second
 )
 
-// Listener is a net.Listener within bounds. It is for HTTP: a connection above
-// the limit is answered with 503 and Retry-After, then closed, instead of
-// waiting for another to end.
+// Listener is a net.Listener for HTTP that limits the number of open
+// connections. A connection above the limit gets a 503 response with
+// Retry-After and is closed, instead of waiting for another connection to
+// close.
 type Listener struct {
 	net.Listener
-	cfg     Config
-	open    atomic.Int64
-	refused atomic.Uint64
-	busy    chan struct{}
-	refusal []byte
+	cfg             Config
+	open            atomic.Int64
+	refused         atomic.Uint64
+	refusalSlots    chan struct{}
+	refusalResponse []byte
 }
 
-// New puts bounds on a listener.
+// New returns a Listener that accepts connections from l.
 func New(l net.Listener, cfg Config) *Listener {
-	refused := result.Errorf(result.TooManyConnections, "%s", result.TooManyConnections.Meaning())
-	return &Listener{Listener: l, cfg: cfg, busy: make(chan struct{}, refusing), refusal: result.Response(refused, refused.Code.HTTPStatus(), retryAfter)}
+	err := result.Errorf(result.TooManyConnections, "%s", result.TooManyConnections.Meaning())
+	return &Listener{Listener: l, cfg: cfg, refusalSlots: make(chan struct{}, maxRefusals), refusalResponse: result.Response(err, err.Code.HTTPStatus(), retryAfter)}
 }
 
-// Open is the number of connections open now.
+// Open returns the number of open connections.
 func (l *Listener) Open() int { return int(l.open.Load()) }
 
-// Refused is the number of connections refused since the start.
+// Refused returns the number of connections refused since New.
 func (l *Listener) Refused() uint64 { return l.refused.Load() }
 
-// Limit is the most connections open at a time.
+// Limit returns the maximum number of open connections.
 func (l *Listener) Limit() int { return l.cfg.Connections }
 
 // Accept implements net.Listener.
@@ -75,63 +78,65 @@
 	}
 }
 
-// refuse answers in the background, so that a slow one holds nobody up.
+// refuse sends the refusal in the background, so that a slow client does not
+// block Accept.
 func (l *Listener) refuse(c net.Conn) {
 	select {
-	case l.busy <- struct{}{}:
+	case l.refusalSlots <- struct{}{}:
 	default:
 		_ = c.Close()
 		return
 	}
 	go func() {
-		defer func() { <-l.busy }()
+		defer func() { <-l.refusalSlots }()
 		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(refuseTimeout))
-		if _, err := c.Write(l.refusal); err != nil {
+		if _, err := c.Write(l.refusalResponse); err != nil {
 			return
 		}
 		lingerClose(c)
 	}()
 }
 
-// lingerClose ends the answer and reads what the other side still sends: to
-// close with bytes unread would take the answer away from it.
+// lingerClose closes the sending side and discards up to 64 KiB that the client
+// still sends. Closing with unread data would reset the connection, and the
+// client might lose the response.
 func lingerClose(c net.Conn) {
-	if half, ok := c.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if closer, ok := c.(interface{ CloseWrite() error }); ok {
+		_ = closer.CloseWrite()
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(c, 64<<10))
 }
 
-// conn is one admitted connection.
+// conn is an accepted connection that counts toward the limit.
 type conn struct {
 	net.Conn
 	listener *Listener
 	once     sync.Once
 }
 
-// Unwrap returns the connection within.
+// Unwrap returns the wrapped connection.
 func (c *conn) Unwrap() net.Conn { return c.Conn }
 
-// Write implements net.Conn. It also gives the errors that net/http writes on
-// its own, before any handler runs, their result code.
+// Write implements net.Conn. It also adds a result code to error responses that
+// net/http writes by itself before any handler runs.
 func (c *conn) Write(p []byte) (int, error) {
 	_ = c.Conn.SetWriteDeadline(time.Now().Add(c.listener.cfg.StallTimeout))
-	numbered, ok := number(p)
+	coded, ok := addResultCode(p)
 	if !ok {
 		return c.Conn.Write(p)
 	}
-	if _, err := c.Conn.Write(numbered); err != nil {
+	if _, err := c.Conn.Write(coded); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// CloseWrite ends the sending half, as net/http does before it drops a
-// connection that still sends.
+// CloseWrite closes the sending side. net/http calls it before it closes a
+// connection whose client is still sending.
 func (c *conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
@@ -142,30 +147,33 @@
 	return c.Conn.Close()
 }
 
-// plainError is what follows the status line in an error of net/http itself; an
-// answer of a handler has at least a Date before it.
-var plainError = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n")
+// netHTTPErrorHeaders is what follows the status line in an error response that
+// net/http writes by itself. A response of a handler differs: it has at least a
+// Date before Content-Type.
+var netHTTPErrorHeaders = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n")
 
-// statusLine is the length of "HTTP/1.1 431".
-const statusLine = len("HTTP/1.1 431")
+// statusPrefixLen is the length of the protocol and status code, as in
+// "HTTP/1.1 431".
+const statusPrefixLen = len("HTTP/1.1 431")
 
-// number turns an error of net/http itself into one with a result code.
-func number(p []byte) ([]byte, bool) {
+// addResultCode replaces an error response of net/http itself by one with a
+// result code. It returns false for any other data.
+func addResultCode(p []byte) ([]byte, bool) {
 	if len(p) > 512 || !bytes.HasPrefix(p, []byte("HTTP/1.")) {
 		return nil, false
 	}
 	line, rest, _ := bytes.Cut(p, []byte("\r\n"))
-	if len(line) < statusLine || !bytes.HasPrefix(append([]byte("\r\n"), rest...), plainError) {
+	if len(line) < statusPrefixLen || !bytes.HasPrefix(append([]byte("\r\n"), rest...), netHTTPErrorHeaders) {
 		return nil, false
 	}
-	detail := string(rest[len(plainError)-len("\r\n"):])
-	if string(line[statusLine-3:statusLine]) == "431" {
-		return numberedAnswer(result.HeaderTooLarge, detail), true
+	detail := string(rest[len(netHTTPErrorHeaders)-len("\r\n"):])
+	if string(line[statusPrefixLen-3:statusPrefixLen]) == "431" {
+		return codedResponse(result.HeaderTooLarge, detail), true
 	}
-	return numberedAnswer(result.BadRequest, detail), true
+	return codedResponse(result.BadRequest, detail), true
 }
 
-// numberedAnswer is the whole answer with a result code.
-func numberedAnswer(code result.Code, detail string) []byte {
+// codedResponse returns a complete response with a result code.
+func codedResponse(code result.Code, detail string) []byte {
 	return result.Response(result.Errorf(code, "%s", detail), code.HTTPStatus(), 0)
 }
