--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -19,41 +19,44 @@
 const (
 	// resendInterval is the time between two submissions of one manifest.
 	resendInterval = 500 * time.Millisecond
-	// pollFirst and pollMost bound the time between two looks at the fleet; it
-	// doubles from one to the other.
-	pollFirst = 50 * time.Millisecond
-	pollMost  = time.Second
+	// minPollInterval and maxPollInterval limit the time between two requests
+	// for the fleet status; it starts at the minimum and doubles up to the
+	// maximum.
+	minPollInterval = 50 * time.Millisecond
+	maxPollInterval = time.Second
 )
 
-// applied is what apply prints.
-type applied struct {
+// applyReport is the output of apply.
+type applyReport struct {
 	source.Answer
 	Mesh    string `json:"mesh"`
 	Version uint64 `json:"version"`
-	// InForce and Daemons count daemons, with --wait.
+	// InForce is the number of daemons that have the version in force, out of
+	// Daemons. Both are set only with --wait.
 	InForce int `json:"in_force,omitempty"`
 	Daemons int `json:"daemons,omitempty"`
-	// Seconds passed from the submission until it was in force everywhere.
+	// Seconds is the time from the submission until the version was in force on
+	// every daemon.
 	Seconds float64 `json:"seconds,omitempty"`
 }
 
 func newApply() *cobra.Command {
 	var path string
-	var to target
+	var api apiOptions
 	var out output
 	var wait time.Duration
 	cmd := &cobra.Command{
 		Use:   "apply -f MANIFEST",
 		Short: "Submit a manifest",
-		Long: `Submits a manifest through any daemon and prints the answer of the sources.
+		Long: `Submits a manifest through any daemon and prints the response of the sources.
 
-Sending the same manifest again is always safe: it is accepted once, and a
-resend gets the first answer. Another manifest under the same version number is
-refused, and the one that was accepted first is named.
+Submitting the same manifest again is always safe: it is accepted once, and a
+repeated submission gets the first response. A different manifest with the same
+version number is refused, and the error names the accepted one.
 
-With --wait, the manifest is sent again by itself while the answer is lost or no
-majority of sources can be reached, and the command ends when every daemon that
-is known has the version in force.`,
+With --wait, the manifest is resubmitted automatically if the response is lost or
+no majority of the sources is reachable, and the command returns when the version
+is in force on every known daemon.`,
 		Example: "  daisygate apply -f examples/ahnenbach.yaml --wait 30s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -64,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			client, err := to.client()
+			client, err := api.client()
 			if err != nil {
 				return err
 			}
@@ -73,13 +76,13 @@
 		},
 	}
 	fileFlag(cmd, &path)
-	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until it is in force on every daemon, such as 30s; 0s does not wait")
-	to.flags(cmd)
+	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait until the version is in force on every daemon, for example 30s; 0s does not wait")
+	api.flags(cmd)
 	out.flags(cmd)
 	return cmd
 }
 
-// applier takes one manifest to the sources and waits for it.
+// applier submits a manifest to the sources and waits until it is in force.
 type applier struct {
 	client   *operator.Client
 	manifest *manifest.Manifest
@@ -96,11 +99,11 @@
 		defer cancel()
 	}
 	answer, err := a.submit(ctx)
-	a.progress.end()
+	a.progress.erase()
 	if err != nil {
-		return explain(err, answer, a.manifest)
+		return describeError(err, answer, a.manifest)
 	}
-	done := applied{Answer: answer, Mesh: a.manifest.Mesh, Version: a.manifest.Version}
+	done := applyReport{Answer: answer, Mesh: a.manifest.Mesh, Version: a.manifest.Version}
 	if out.format == formatText {
 		fmt.Fprintf(w, "%s: mesh %s version %d is in fleet version %d\n", answer.Code, done.Mesh, done.Version, answer.Fleet)
 	}
@@ -108,7 +111,7 @@
 		return out.print(w, done, func(io.Writer) {})
 	}
 	daemons, err := a.awaitInForce(ctx, answer.Fleet)
-	a.progress.end()
+	a.progress.erase()
 	if err != nil {
 		return err
 	}
@@ -118,14 +121,14 @@
 	})
 }
 
-// submit sends the manifest once, or until its time is over when it may wait.
+// submit sends the manifest. With --wait it retries until ctx ends.
 func (a *applier) submit(ctx context.Context) (source.Answer, error) {
 	for {
 		answer, err := a.client.Submit(ctx, a.raw)
-		if err == nil || a.wait <= 0 || !resendable(err) {
+		if err == nil || a.wait <= 0 || !isRetryable(err) {
 			return answer, err
 		}
-		a.progress.show("not accepted yet, sending the same again: %v", err)
+		a.progress.update("not accepted yet, resubmitting the same manifest: %v", err)
 		select {
 		case <-ctx.Done():
 			return answer, err
@@ -134,8 +137,9 @@
 	}
 }
 
-// resendable are the failures that time may mend.
-func resendable(err error) bool {
+// isRetryable reports whether an error may be temporary, so that the request
+// can be retried.
+func isRetryable(err error) bool {
 	var coded *result.Error
 	if !errors.As(err, &coded) {
 		return false
@@ -147,8 +151,9 @@
 	return false
 }
 
-// explain adds to a failure what its reader should know or do.
-func explain(err error, answer source.Answer, m *manifest.Manifest) error {
+// describeError adds the meaning of the result code, the accepted manifest that
+// conflicts, or advice to an error.
+func describeError(err error, answer source.Answer, m *manifest.Manifest) error {
 	var coded *result.Error
 	if !errors.As(err, &coded) {
 		return err
@@ -158,40 +163,40 @@
 	case coded.Code == result.CommitUnknown:
 		return result.Errorf(coded.Code, "%s\nSending the same manifest again is safe: mesh %s version %d is accepted at most once.", coded.Detail, m.Mesh, m.Version)
 	case answer.Winner != nil:
-		return result.Errorf(coded.Code, "%s\nThe winner: %s", text, winnerText(answer.Winner))
+		return result.Errorf(coded.Code, "%s\nThe winner: %s", text, formatWinner(answer.Winner))
 	case coded.Code == result.Unreachable:
 		return err
 	}
 	return result.Errorf(coded.Code, "%s", text)
 }
 
-func winnerText(w *source.Accepted) string {
+func formatWinner(w *source.Accepted) string {
 	return fmt.Sprintf("mesh %s version %d, content %016x, fleet version %d, accepted at %s",
 		w.Mesh, w.Version, w.Content, w.Fleet, w.Time.Format(time.RFC3339))
 }
 
-// awaitInForce looks at the fleet until every daemon has the version, and
-// returns how many there are.
+// awaitInForce polls the fleet status until every daemon has the version in
+// force, and returns the number of daemons.
 func (a *applier) awaitInForce(ctx context.Context, version uint64) (int, error) {
-	interval := pollFirst
+	interval := minPollInterval
 	seen := tally{version: version}
 	for {
 		fleet, err := a.client.Fleet(ctx, false)
-		if err != nil && !resendable(err) {
+		if err != nil && !isRetryable(err) {
 			return 0, err
 		}
 		if err == nil {
-			seen = count(&fleet, version)
-			a.progress.show("in force on %d of %d daemons", seen.there, seen.daemons)
+			seen = countInForce(&fleet, version)
+			a.progress.update("in force on %d of %d daemons", seen.inForce, seen.daemons)
 		}
-		if seen.everywhere {
+		if seen.onAll {
 			return seen.daemons, nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, seen.pending()
+			return 0, seen.notInForceError()
 		case <-time.After(interval):
 		}
-		interval = min(2*interval, pollMost)
+		interval = min(2*interval, maxPollInterval)
 	}
 }
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -26,16 +26,18 @@
 )
 
 const (
-	// devPatience bounds each wait for the mesh to come up or follow.
-	devPatience = time.Minute
-	// devPoll is the time between two tries of a request.
-	devPoll = 50 * time.Millisecond
+	// devWaitTimeout is the timeout for each step of starting the mesh or
+	// applying a manifest.
+	devWaitTimeout = time.Minute
+	// devPollInterval is the time between two attempts.
+	devPollInterval = 50 * time.Millisecond
 )
 
-// devOptions are the flags of dev.
+// devOptions are the flags of the dev command.
 type devOptions struct {
 	demo bool
-	// rollouts shows roll-outs; with it servers tell their version.
+	// rollouts runs the rollout demonstration; the backend servers then
+	// announce their software version.
 	rollouts bool
 	verbose  bool
 	path     string
@@ -48,33 +50,34 @@
 	var opt devOptions
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole mesh on loopback in this process, to try it",
-		Long: `Starts daemons (each of them a source) and stand-in backend servers in this
-process, applies a manifest, prints the addresses and a few commands to try, and
-serves until it is interrupted.
+		Short: "Run a complete mesh on loopback in this process, for trying it out",
+		Long: `Starts daemons (the first 1, 3 or 5 are sources) and stand-in backend servers in
+this process, applies a manifest, prints the addresses and a few commands to try,
+and serves until it is interrupted.
 
-With --demo it shows one request answered and one change taking force, and ends.`,
+With --demo it shows the response to one request and one change coming into force,
+and exits.`,
 		Example: "  daisygate dev --demo\n  daisygate dev --data-dir /tmp/daisygate",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if opt.nodes < 1 || opt.nodes > 99 {
-				return usage("--nodes: want 1 to 99, got %d", opt.nodes)
+				return usageError("--nodes: want 1 to 99, got %d", opt.nodes)
 			}
 			return runDev(cmd.Context(), &opt, cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
 	f := cmd.Flags()
-	f.BoolVar(&opt.demo, "demo", false, "show one request answered and one change taking force, then end")
-	f.BoolVar(&opt.rollouts, "rollouts", false, "show a bad and a good software version rolled out under load, then end; takes half a minute")
+	f.BoolVar(&opt.demo, "demo", false, "show the response to one request and one change coming into force, then exit")
+	f.BoolVar(&opt.rollouts, "rollouts", false, "show a bad and a good software version rolled out under load, then exit; takes half a minute")
 	f.BoolVarP(&opt.verbose, "verbose", "v", false, "print the daemons' logs to stderr")
-	f.StringVarP(&opt.path, "file", "f", "", "manifest (YAML) to apply; empty is the built-in example")
-	f.StringVar(&opt.dataDir, "data-dir", "", "data folder to keep; empty is a temporary one")
+	f.StringVarP(&opt.path, "file", "f", "", "manifest (YAML) to apply; default is the built-in example")
+	f.StringVar(&opt.dataDir, "data-dir", "", "data folder, which is kept; default is a temporary one")
 	f.IntVar(&opt.nodes, "nodes", dev.DefaultNodes, "number of daemons, 1 to 99; the first 1, 3 or 5 are sources")
-	f.IntVar(&opt.port, "port", 7400, "operator port of the first daemon; 0, or a port in use, lets the system choose")
+	f.IntVar(&opt.port, "port", 7400, "operator port of the first daemon; if it is 0 or in use, the system chooses one")
 	return cmd
 }
 
-// devMesh is a mesh of dev and what was applied to it.
+// devMesh is a running mesh of the dev command and the manifest applied to it.
 type devMesh struct {
 	mesh     *dev.Mesh
 	client   *operator.Client
@@ -98,7 +101,7 @@
 		client: &operator.Client{Addr: mesh.Nodes[0].Operator, HTTP: &http.Client{Timeout: requestTimeout}},
 	}
 	d.printAddresses()
-	if err := d.begin(ctx); err != nil {
+	if err := d.initManifest(ctx); err != nil {
 		return err
 	}
 	switch {
@@ -121,8 +124,8 @@
 	return m, err
 }
 
-// start runs the mesh, with a backend server of each service beside every
-// daemon but one, so that some calls cross two daemons.
+// start starts the mesh. Each service has a backend server at every daemon
+// except one, so that some requests pass through two daemons.
 func (o *devOptions) start(m *manifest.Manifest) (*dev.Mesh, error) {
 	cfg := dev.Config{Nodes: o.nodes, DataDir: o.dataDir, Rollouts: o.rollouts, Log: logr.Discard()}
 	version := ""
@@ -153,25 +156,27 @@
 	return mesh, err
 }
 
-// begin applies the manifest, or keeps what a kept data folder brought back.
-func (d *devMesh) begin(ctx context.Context) error {
+// initManifest applies the manifest, unless the data folder already contains
+// the same or a newer version.
+func (d *devMesh) initManifest(ctx context.Context) error {
 	current, err := d.current(ctx)
 	if err != nil {
 		return err
 	}
 	if current != nil && current.Version >= d.manifest.Version {
 		d.manifest = current
-		fmt.Fprintf(d.out, "\nmesh %s version %d is in force, as the data folder has it\n", current.Mesh, current.Version)
+		fmt.Fprintf(d.out, "\nmesh %s version %d is in force, restored from the data folder\n", current.Mesh, current.Version)
 	} else if err := d.apply(ctx); err != nil {
 		return err
 	}
 	return d.awaitReady(ctx)
 }
 
-// current is the manifest in force, or nil; it waits for the mesh to stand.
+// current waits until the mesh has formed and returns the manifest in force, or
+// nil if there is none.
 func (d *devMesh) current(ctx context.Context) (*manifest.Manifest, error) {
 	var current *manifest.Manifest
-	err := d.eventually(ctx, "the mesh to stand", func() error {
+	err := d.waitFor(ctx, "the mesh to form", func() error {
 		status, err := d.client.Status(ctx)
 		if err != nil {
 			return err
@@ -180,10 +185,10 @@
 		if err != nil {
 			return err
 		}
-		if err := d.stands(&status, fleet.Daemons); err != nil {
+		if err := d.checkFormed(&status, fleet.Daemons); err != nil {
 			return err
 		}
-		current, err = fetch(ctx, d.client, d.manifest.Mesh)
+		current, err = fetchManifest(ctx, d.client, d.manifest.Mesh)
 		return err
 	})
 	if err != nil || current.Version == 0 {
@@ -192,13 +197,14 @@
 	return current, nil
 }
 
-// stands tells what the first daemon, which sees so many daemons, still lacks.
-func (d *devMesh) stands(s *operator.NodeStatus, seen int) error {
+// checkFormed returns an error if the mesh is still forming, judged by the
+// status of the first daemon and the number of daemons that it sees.
+func (d *devMesh) checkFormed(s *operator.NodeStatus, seen int) error {
 	switch {
 	case s.Source == nil || s.Source.Lead == "":
-		return errors.New("no leader of the sources is elected")
+		return errors.New("the sources have not elected a leader yet")
 	case seen < len(d.mesh.Nodes):
-		return errors.Newf("only %d of %d daemons found each other", seen, len(d.mesh.Nodes))
+		return errors.Newf("the first daemon has discovered only %d of %d daemons", seen, len(d.mesh.Nodes))
 	case s.Source.Version > s.Mesh.Version:
 		return errors.Newf("version %d is not in force yet", s.Source.Version)
 	}
@@ -211,16 +217,16 @@
 		return errors.Wrap(err, "encode manifest")
 	}
 	fmt.Fprintf(d.out, "\nThe manifest of mesh %s, version %d:\n", d.manifest.Mesh, d.manifest.Version)
-	a := &applier{client: d.client, manifest: d.manifest, raw: raw, wait: devPatience, progress: d.progress}
+	a := &applier{client: d.client, manifest: d.manifest, raw: raw, wait: devWaitTimeout, progress: d.progress}
 	return a.run(ctx, d.out, &output{format: formatText})
 }
 
-// awaitReady waits until every route answers at every daemon.
+// awaitReady waits until every daemon serves every route.
 func (d *devMesh) awaitReady(ctx context.Context) error {
 	for _, n := range d.mesh.Nodes {
 		for i := range d.manifest.Routes {
 			r := &d.manifest.Routes[i]
-			err := d.eventually(ctx, "an answer to "+r.Path, func() error {
+			err := d.waitFor(ctx, "a response to "+r.Path, func() error {
 				_, err := d.request(ctx, n, r)
 				return err
 			})
@@ -232,8 +238,8 @@
 	return nil
 }
 
-func (d *devMesh) eventually(ctx context.Context, what string, f func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, devPatience)
+func (d *devMesh) waitFor(ctx context.Context, what string, f func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, devWaitTimeout)
 	defer cancel()
 	for {
 		err := f()
@@ -242,8 +248,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(err, "waited for %s", what)
-		case <-time.After(devPoll):
+			return errors.Wrapf(err, "waiting for %s", what)
+		case <-time.After(devPollInterval):
 		}
 	}
 }
@@ -255,7 +261,8 @@
 	return r.Methods[0]
 }
 
-// request calls a route at a daemon as a caller does.
+// request sends a request for a route to the caller address of a daemon and
+// returns the response body.
 func (d *devMesh) request(ctx context.Context, n dev.Node, r *manifest.Route) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, method(r), "http://"+n.Caller+r.Path, nil)
 	if err != nil {
@@ -309,5 +316,5 @@
 	for _, command := range []string{"status", "history", "drain --node n1"} {
 		fmt.Fprintf(d.out, "  daisygate %s --operator %s\n", command, addr)
 	}
-	fmt.Fprintln(d.out, "\nInterrupt (Ctrl-C) ends it.")
+	fmt.Fprintln(d.out, "\nPress Ctrl-C to stop.")
 }
--- a/internal/cli/dev_demo.go
+++ b/internal/cli/dev_demo.go
@@ -14,14 +14,15 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// demo shows a request, a change, and the request again.
+// demo sends a request, applies a changed manifest, and sends the request
+// again.
 func (d *devMesh) demo(ctx context.Context) error {
 	entry, route := d.mesh.Nodes[len(d.mesh.Nodes)-1], &d.manifest.Routes[0]
-	if err := d.show(ctx, "A request to daemon "+entry.Name, entry, route); err != nil {
+	if err := d.printRequest(ctx, "A request to daemon "+entry.Name, entry, route); err != nil {
 		return err
 	}
 	before := d.manifest
-	next, err := moved(before)
+	next, err := changedManifest(before)
 	if err != nil {
 		return err
 	}
@@ -33,20 +34,21 @@
 	if err := d.apply(ctx); err != nil {
 		return err
 	}
-	if err := d.show(ctx, "The same request after the change", entry, &next.Routes[0]); err != nil {
+	if err := d.printRequest(ctx, "The same request after the change", entry, &next.Routes[0]); err != nil {
 		return err
 	}
 	return d.showSplit(ctx, entry)
 }
 
-// The route that the demo adds: a host of its own, shared by two services.
+// The route that the demo adds: a separate host with a weighted split between
+// two services.
 const (
 	splitRoute    = "demo-split"
 	splitHost     = "split.example"
 	splitRequests = 100
 )
 
-// withSplit adds the demo's route to m, unless it is there.
+// withSplit adds the demo route to m if it is missing.
 func withSplit(m *manifest.Manifest, services [2]string) {
 	if slices.ContainsFunc(m.Routes, func(r manifest.Route) bool { return r.Name == splitRoute }) {
 		return
@@ -59,7 +61,8 @@
 	m.Routes = append(m.Routes, route)
 }
 
-// showSplit counts which service answers the requests of the demo's route.
+// showSplit sends requests for the demo route and prints how many each service
+// answered.
 func (d *devMesh) showSplit(ctx context.Context, n dev.Node) error {
 	at := slices.IndexFunc(d.manifest.Routes, func(r manifest.Route) bool { return r.Name == splitRoute })
 	if at < 0 {
@@ -75,14 +78,14 @@
 		service, _, _ := strings.Cut(strings.TrimPrefix(answer, "answered by service "), " ")
 		counts[service]++
 	}
-	fmt.Fprintf(d.out, "\n%d requests to a host of its own, shared by weight:\n  $ %s\n", splitRequests, d.curl(n, route))
+	fmt.Fprintf(d.out, "\n%d requests to a host that is split between services by weight:\n  $ %s\n", splitRequests, d.curl(n, route))
 	for _, share := range route.Split {
 		fmt.Fprintf(d.out, "  %s, weight %d: %d answers\n", share.Service, share.Weight, counts[share.Service])
 	}
 	return nil
 }
 
-func (d *devMesh) show(ctx context.Context, title string, n dev.Node, r *manifest.Route) error {
+func (d *devMesh) printRequest(ctx context.Context, title string, n dev.Node, r *manifest.Route) error {
 	answer, err := d.request(ctx, n, r)
 	if err != nil {
 		return err
@@ -91,8 +94,9 @@
 	return nil
 }
 
-// moved is the next version of m, with its first route at another service.
-func moved(m *manifest.Manifest) (*manifest.Manifest, error) {
+// changedManifest returns the next version of m, with the first route moved to
+// another service and the demo route added.
+func changedManifest(m *manifest.Manifest) (*manifest.Manifest, error) {
 	raw, err := yaml.Marshal(m)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode manifest")
@@ -109,5 +113,5 @@
 			return next, nil
 		}
 	}
-	return nil, usage("--demo needs a manifest with two services")
+	return nil, usageError("--demo needs a manifest with two services")
 }
--- a/internal/cli/dev_rollout.go
+++ b/internal/cli/dev_rollout.go
@@ -14,19 +14,20 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The roll-outs that the demo shows.
+// Parameters of the rollout demonstration.
 const (
-	demoVersion = "v1"
-	demoBad     = "v2"
-	demoGood    = "v3"
-	demoWithin  = 12 * time.Second
-	// demoCallers send a request each demoPause meanwhile.
-	demoCallers = 12
-	demoPause   = 10 * time.Millisecond
+	demoVersion     = "v1"
+	demoBadVersion  = "v2"
+	demoGoodVersion = "v3"
+	demoTimeLimit   = 12 * time.Second
+	// demoCallers is the number of concurrent callers during the rollouts. Each
+	// sends a request, then waits for demoRequestInterval.
+	demoCallers         = 12
+	demoRequestInterval = 10 * time.Millisecond
 )
 
-// demoRollouts rolls out a version that fails every second request, then a good one, under
-// load.
+// demoRollouts rolls out, under load, a version that fails every second request
+// and then a good version.
 func (d *devMesh) demoRollouts(ctx context.Context) error {
 	route := &d.manifest.Routes[0]
 	ctx, cancel := context.WithCancel(ctx)
@@ -34,9 +35,9 @@
 	defer callers.Wait()
 	defer cancel()
 	for i := range demoCallers {
-		callers.Go(func() { d.keepCalling(ctx, i, route) })
+		callers.Go(func() { d.sendRequests(ctx, i, route) })
 	}
-	for _, version := range []string{demoBad, demoGood} {
+	for _, version := range []string{demoBadVersion, demoGoodVersion} {
 		if err := d.showRollout(ctx, route, version); err != nil {
 			return err
 		}
@@ -49,21 +50,21 @@
 	return nil
 }
 
-func (d *devMesh) keepCalling(ctx context.Context, at int, route *manifest.Route) {
-	for ; ctx.Err() == nil; at++ {
-		_, _ = d.request(ctx, d.mesh.Nodes[at%len(d.mesh.Nodes)], route)
-		time.Sleep(demoPause)
+func (d *devMesh) sendRequests(ctx context.Context, index int, route *manifest.Route) {
+	for ; ctx.Err() == nil; index++ {
+		_, _ = d.request(ctx, d.mesh.Nodes[index%len(d.mesh.Nodes)], route)
+		time.Sleep(demoRequestInterval)
 	}
 }
 
 func (d *devMesh) showRollout(ctx context.Context, route *manifest.Route, version string) error {
 	what := "a good version"
-	if version == demoBad {
+	if version == demoBadVersion {
 		what = "a version that fails every second request"
 	}
 	fmt.Fprintf(d.out, "\nA roll-out of service %s to %s, %s:\n", route.Service, version, what)
-	order := operator.RolloutRequest{Mesh: d.manifest.Mesh, Service: route.Service, Target: version, WithinSeconds: demoWithin.Seconds()}
-	err := d.eventually(ctx, "the serving version to be known", func() error {
+	order := operator.RolloutRequest{Mesh: d.manifest.Mesh, Service: route.Service, Target: version, WithinSeconds: demoTimeLimit.Seconds()}
+	err := d.waitFor(ctx, "the serving version to be known", func() error {
 		_, err := d.client.OrderRollout(ctx, order)
 		return err
 	})
@@ -74,7 +75,7 @@
 		return err
 	}
 	w := rolloutWaiter{client: d.client, name: source.ServiceName{Mesh: order.Mesh, Service: order.Service}, progress: d.progress}
-	answer, err := w.run(ctx, demoWithin+rolloutGrace)
+	answer, err := w.run(ctx, demoTimeLimit+rolloutWaitMargin)
 	if err != nil && !isCode(err, result.RolledBack) {
 		return err
 	}
@@ -82,11 +83,12 @@
 	return nil
 }
 
-// startVersion starts servers of another version beside the others of a service.
+// startVersion starts backend servers with another software version of a
+// service, in addition to the existing ones.
 func (d *devMesh) startVersion(service, version string) error {
 	var servers []dev.Server
 	for node := range d.mesh.Nodes {
-		servers = append(servers, dev.Server{Node: node, Mesh: d.manifest.Mesh, Service: service, Version: version, Fails: version == demoBad})
+		servers = append(servers, dev.Server{Node: node, Mesh: d.manifest.Mesh, Service: service, Version: version, Fails: version == demoBadVersion})
 	}
 	return d.mesh.StartServers(servers)
 }
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -15,17 +15,18 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// diffReport is what diff prints.
+// diffReport is the output of diff.
 type diffReport struct {
 	Mesh string `json:"mesh"`
-	// From is the version in force; 0 if the mesh has none.
+	// From is the version in force, or 0 if the mesh has none.
 	From uint64 `json:"from"`
-	// To is the version of the file, or the accepted one that was named.
+	// To is the version of the manifest file, or the accepted version given by
+	// --to.
 	To      uint64        `json:"to"`
 	Changes []diff.Change `json:"changes"`
 }
 
-// diffOptions name what is compared.
+// diffOptions are the flags that select what is compared.
 type diffOptions struct {
 	path string
 	mesh string
@@ -34,7 +35,7 @@
 }
 
 func newDiff() *cobra.Command {
-	var to target
+	var api apiOptions
 	var out output
 	var opt diffOptions
 	cmd := &cobra.Command{
@@ -42,12 +43,13 @@
 		Short: "Compare a manifest with what is in force, or two accepted versions",
 		Long: `Lists what a manifest would change: + added, - removed, ~ changed.
 
-Two accepted versions of a mesh can be compared as far as their content is held.
-Sources and daemons hold the content of the version in force; of older ones they
-keep number, content hash and time (see daisygate history), and diff says so.`,
+Two accepted versions of a mesh can be compared only if the content of both is
+stored. Sources and daemons store the content of the version in force; of older
+versions they keep the number, content hash and time (see daisygate history), and
+diff reports an error.`,
 		Example: "  daisygate diff -f examples/ahnenbach.yaml",
 		Args:    cobra.NoArgs,
-		RunE: ask(&to, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
+		RunE: runWithClient(&api, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
 			report, err := opt.compare(cmd.Context(), client)
 			if err != nil {
 				return nil, nil, err
@@ -63,7 +65,7 @@
 	cmd.MarkFlagsRequiredTogether("mesh", "from", "to")
 	cmd.MarkFlagsMutuallyExclusive("file", "mesh")
 	cmd.MarkFlagsOneRequired("file", "mesh")
-	to.flags(cmd)
+	api.flags(cmd)
 	out.flags(cmd)
 	return cmd
 }
@@ -76,39 +78,41 @@
 	if err != nil {
 		return nil, err
 	}
-	current, err := fetch(ctx, client, next.Mesh)
+	current, err := fetchManifest(ctx, client, next.Mesh)
 	if err != nil {
 		return nil, err
 	}
 	return newReport(current, next), nil
 }
 
-// compareAccepted needs both contents, and the sources hold one.
+// compareAccepted compares two accepted versions. It fails unless both are the
+// version in force, because the sources store only the content of that version.
 func (o *diffOptions) compareAccepted(ctx context.Context, client *operator.Client) (*diffReport, error) {
 	history, err := client.History(ctx, source.HistoryRequest{Mesh: o.mesh})
 	if err != nil {
 		return nil, err
 	}
 	for _, version := range []uint64{o.from, o.to} {
-		isIt := func(a source.Accepted) bool { return a.Mesh == o.mesh && a.Version == version }
-		if !slices.ContainsFunc(history, isIt) {
+		matches := func(a source.Accepted) bool { return a.Mesh == o.mesh && a.Version == version }
+		if !slices.ContainsFunc(history, matches) {
 			return nil, result.Errorf(result.UnknownResource, "version %d of mesh %s is not in the history of accepted manifests", version, o.mesh)
 		}
 	}
-	current, err := fetch(ctx, client, o.mesh)
+	current, err := fetchManifest(ctx, client, o.mesh)
 	if err != nil {
 		return nil, err
 	}
 	for _, version := range []uint64{o.from, o.to} {
 		if version != current.Version {
-			return nil, result.Errorf(result.VersionNotHeld, "the sources hold the content of mesh %s version %d, which is in force; of version %d they keep only its content hash and time. Take that manifest from your own pipeline and compare it with -f", o.mesh, current.Version, version)
+			return nil, result.Errorf(result.VersionNotHeld, "the sources store only the content of mesh %s version %d, which is in force; of version %d they keep the content hash and time. Get that manifest from your own pipeline and compare it with -f", o.mesh, current.Version, version)
 		}
 	}
 	return newReport(current, current), nil
 }
 
-// fetch reads the manifest in force; a mesh without one has an empty manifest.
-func fetch(ctx context.Context, client *operator.Client, mesh string) (*manifest.Manifest, error) {
+// fetchManifest reads the manifest in force. For a mesh without one it returns
+// an empty manifest.
+func fetchManifest(ctx context.Context, client *operator.Client, mesh string) (*manifest.Manifest, error) {
 	held, err := client.InForce(ctx, mesh)
 	if isCode(err, result.UnknownResource) {
 		return &manifest.Manifest{Mesh: mesh}, nil
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -12,27 +12,28 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// drainPoll is the time between two looks at what still runs.
-const drainPoll = 200 * time.Millisecond
+// drainPollInterval is the time between two requests for the drain status.
+const drainPollInterval = 200 * time.Millisecond
 
 func newDrain() *cobra.Command {
-	var to target
+	var api apiOptions
 	var out output
 	var order operator.DrainRequest
 	var wait time.Duration
 	cmd := &cobra.Command{
 		Use:   "drain",
 		Short: "Take a daemon's backend servers, or one of them, out of service, or undo that",
-		Long: `Gives no new work to the backend servers beside a daemon, or to one of them, and
-waits until what is in progress is finished. No request is cut. The daemon goes
-on answering its callers, from backend servers beside other daemons.
+		Long: `Stops sending new requests to the backend servers on a daemon's instance, or to
+one of them, and waits until the requests in progress have finished. No request is
+interrupted. The daemon continues to serve its callers from backend servers on
+other instances.
 
-A drain lasts until it is undone or the daemon ends. Repeating it is safe.`,
+A drain lasts until it is undone or the daemon stops. Repeating it is safe.`,
 		Example: `  daisygate drain --node n2 --wait 5m
   daisygate drain --server 127.0.0.1:9001
   daisygate drain --node n2 --undo`,
 		Args: cobra.NoArgs,
-		RunE: ask(&to, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
+		RunE: runWithClient(&api, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
 			d := &drainer{client: client, order: order, wait: wait, progress: newProgress(cmd.ErrOrStderr())}
 			status, err := d.run(cmd.Context())
 			if err != nil {
@@ -41,16 +42,16 @@
 			return status, func(w io.Writer) { printDrain(w, status) }, nil
 		}),
 	}
-	cmd.Flags().StringVar(&order.Node, "node", "", "name of the daemon; empty is the one that is asked, or the one beside --server")
-	cmd.Flags().StringVar(&order.Server, "server", "", "address of one backend server, ip:port; empty is all beside the daemon")
-	cmd.Flags().BoolVar(&order.Undo, "undo", false, "give new work again")
-	cmd.Flags().DurationVar(&wait, "wait", time.Minute, "how long to wait until it is idle, such as 5m; 0s does not wait")
-	to.flags(cmd)
+	cmd.Flags().StringVar(&order.Node, "node", "", "name of the daemon; default is the contacted daemon, or the one on the instance of --server")
+	cmd.Flags().StringVar(&order.Server, "server", "", "address of one backend server, ip:port; default is all on the daemon's instance")
+	cmd.Flags().BoolVar(&order.Undo, "undo", false, "send new requests again")
+	cmd.Flags().DurationVar(&wait, "wait", time.Minute, "how long to wait until no request is in progress, for example 5m; 0s does not wait")
+	api.flags(cmd)
 	out.flags(cmd)
 	return cmd
 }
 
-// drainer carries out one drain and waits for it.
+// drainer starts or undoes a drain and waits until no request is in progress.
 type drainer struct {
 	client   *operator.Client
 	order    operator.DrainRequest
@@ -63,15 +64,15 @@
 	if err != nil || d.order.Undo || d.wait <= 0 {
 		return status, err
 	}
-	defer d.progress.end()
+	defer d.progress.erase()
 	ctx, cancel := context.WithTimeout(ctx, d.wait)
 	defer cancel()
 	for !status.Idle {
-		d.progress.show("requests in progress: %d", status.Running)
+		d.progress.update("requests in progress: %d", status.Running)
 		select {
 		case <-ctx.Done():
-			return status, result.Errorf(result.NotIdle, "requests still in progress beside daemon %s: %d; they go on and nothing new begins", status.Node, status.Running)
-		case <-time.After(drainPoll):
+			return status, result.Errorf(result.NotIdle, "requests still in progress on the backend servers of daemon %s: %d; they continue, and no new ones are sent", status.Node, status.Running)
+		case <-time.After(drainPollInterval):
 		}
 		if seen, err := d.client.DrainStatus(ctx, d.order); err == nil {
 			status = seen
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -9,7 +9,7 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// The exit codes.
+// Exit codes of the command line; ExitCodes describes them.
 const (
 	ExitOK          = 0
 	ExitRefused     = 1
@@ -21,16 +21,16 @@
 	ExitRolledBack  = 7
 )
 
-// ExitCode is one row of the table of exit codes.
+// ExitCode describes an exit code.
 type ExitCode struct {
 	Code int
 	Name string
-	// Meaning is one sentence that ends with a full stop.
+	// Meaning is one sentence that ends with a period.
 	Meaning string
 }
 
-// ExitCodes lists every exit code in order; docs/RESULT-CODES.md holds the same
-// table.
+// ExitCodes lists all exit codes in order. docs/RESULT-CODES.md contains the
+// same table.
 var ExitCodes = []ExitCode{
 	{ExitOK, "OK", "Done."},
 	{ExitRefused, "Refused", "Refused, with a result code; nothing was changed."},
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,17 +13,18 @@
 func newExplain() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID FILE...",
-		Short: "Tell from logs what became of one request",
-		Long: `Reads logs of daemons and prints the path of the request ID through them, oldest
-line first, with what its end means. FILE "-" is standard input. Give the logs of
-the daemon that took the request and of those it was sent to.
+		Short: "Show from logs what happened to one request",
+		Long: `Reads the logs of daemons and prints the lines about the request ID, oldest first,
+and the meaning of its result. FILE "-" is standard input. Pass the logs of the
+daemon that received the request from the caller and of the daemons it was
+forwarded to.
 
-A log tells of requests that were refused, failed, answered late or sent more than
-once; of a share of them where there are many (log.requests_per_second).`,
+A log contains requests that were refused, failed, answered late or sent more than
+once. If there are many, it contains only some of them (log.requests_per_second).`,
 		Example: "  daisygate explain 9c41d07be2a35f68 n1.log n2.log",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			lines, err := readTrail(cmd.InOrStdin(), args[0], args[1:])
+			lines, err := readLogs(cmd.InOrStdin(), args[0], args[1:])
 			if err != nil {
 				return err
 			}
@@ -35,8 +36,8 @@
 	}
 }
 
-// readTrail gathers the lines about a request from logs.
-func readTrail(in io.Reader, id string, paths []string) ([]trail.Line, error) {
+// readLogs returns the lines about a request from several logs.
+func readLogs(in io.Reader, id string, paths []string) ([]trail.Line, error) {
 	var all []trail.Line
 	for _, path := range paths {
 		lines, err := readLog(in, id, path)
@@ -54,7 +55,7 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read a log")
+		return nil, errors.Wrap(err, "open log")
 	}
 	defer func() { _ = file.Close() }()
 	return trail.Read(file, path, id)
--- a/internal/cli/fake_test.go
+++ b/internal/cli/fake_test.go
@@ -16,7 +16,8 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// fakeFleet is a daemon that sees a fleet in which some daemons lag for good.
+// fakeFleet is the operator backend of a daemon that reports a fixed fleet in
+// which some daemons lag permanently.
 type fakeFleet struct {
 	operator.Backend
 	fleet operator.Fleet
@@ -34,7 +35,8 @@
 	return &source.Status{Version: 7, Status: quorum.Status{Role: role, Term: 2, Commit: 9, Lead: "n1", Failure: failure, Repair: repair}}
 }
 
-// cmdFake is "fake small" or "fake large"; $FAKE is the operator address.
+// cmdFake implements the script commands "fake small" and "fake large", which
+// start a fakeFleet and set $FAKE to its operator address.
 func cmdFake(ts *testscript.TestScript, _ bool, args []string) {
 	fleet := operator.Fleet{Daemons: 8, Complete: true, Nodes: []operator.FleetNode{
 		{Node: "n0", Domain: "d1", Version: 7, Links: 2},
--- a/internal/cli/history.go
+++ b/internal/cli/history.go
@@ -13,7 +13,7 @@
 )
 
 func newHistory() *cobra.Command {
-	var to target
+	var api apiOptions
 	var out output
 	var mesh string
 	var limit int
@@ -22,9 +22,9 @@
 		Short:   "List the accepted manifests, newest first",
 		Example: "  daisygate history --mesh ahnenbach --limit 5",
 		Args:    cobra.NoArgs,
-		RunE: ask(&to, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
+		RunE: runWithClient(&api, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
 			if limit < 1 || limit > source.MaxHistory {
-				return nil, nil, usage("--limit: want 1 to %d, got %d", source.MaxHistory, limit)
+				return nil, nil, usageError("--limit: want 1 to %d, got %d", source.MaxHistory, limit)
 			}
 			list, err := client.History(cmd.Context(), source.HistoryRequest{Mesh: mesh, Limit: limit})
 			if err != nil {
@@ -37,10 +37,10 @@
 			return list, func(w io.Writer) { printHistory(w, list) }, nil
 		}),
 	}
-	to.flags(cmd)
+	api.flags(cmd)
 	out.flags(cmd)
-	cmd.Flags().StringVar(&mesh, "mesh", "", "only this mesh; empty lists all")
-	cmd.Flags().IntVar(&limit, "limit", 20, fmt.Sprintf("at most so many lines, 1 to %d", source.MaxHistory))
+	cmd.Flags().StringVar(&mesh, "mesh", "", "list only this mesh; default is all")
+	cmd.Flags().IntVar(&limit, "limit", 20, fmt.Sprintf("maximum number of lines, 1 to %d", source.MaxHistory))
 	return cmd
 }
 
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -12,13 +12,13 @@
 	"github.com/daisygate/daisygate/internal/connection/operator"
 )
 
-// The output formats.
+// Output formats.
 const (
 	formatText = "text"
 	formatJSON = "json"
 )
 
-// output is the form in which a command prints what it lists.
+// output holds the --output flag of a command.
 type output struct{ format string }
 
 func (o *output) flags(cmd *cobra.Command) {
@@ -26,15 +26,15 @@
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{formatText, formatJSON}, cobra.ShellCompDirectiveNoFileComp))
 }
 
-// check refuses an unknown format before anything is done.
+// check rejects an unknown format before the command does anything.
 func (o *output) check() error {
 	if o.format != formatText && o.format != formatJSON {
-		return usage("--output: want text or json, got %q", o.format)
+		return usageError("--output: want text or json, got %q", o.format)
 	}
 	return nil
 }
 
-// print writes v as JSON, or lets text write it.
+// print writes v as JSON, or calls text to write it as text.
 func (o *output) print(w io.Writer, v any, text func(io.Writer)) error {
 	if o.format == formatJSON {
 		encoder := json.NewEncoder(w)
@@ -45,14 +45,15 @@
 	return nil
 }
 
-// ask is the body of a command that asks a daemon and prints what it tells: f
-// returns what is printed as JSON, and how it is written as text.
-func ask(to *target, out *output, f func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error)) func(*cobra.Command, []string) error {
+// runWithClient returns a RunE function for a command that queries a daemon and
+// prints the result. f returns the value to print as JSON and a function that
+// writes it as text.
+func runWithClient(api *apiOptions, out *output, f func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error)) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		if err := out.check(); err != nil {
 			return err
 		}
-		client, err := to.client()
+		client, err := api.client()
 		if err != nil {
 			return err
 		}
@@ -64,7 +65,7 @@
 	}
 }
 
-// table writes rows in columns.
+// table writes tab-separated rows in aligned columns.
 func table(w io.Writer, header string, rows []string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, header)
@@ -74,11 +75,11 @@
 	_ = t.Flush()
 }
 
-// clearLine returns to the line's start and erases it.
+// clearLine moves the cursor to the start of the line and erases the line.
 const clearLine = "\r\x1b[K"
 
-// progress shows one line that changes: in place on a terminal, elsewhere a new
-// line at each change.
+// progress shows a status line. On a terminal it updates the line in place,
+// otherwise it prints a new line on each change.
 type progress struct {
 	w        io.Writer
 	terminal bool
@@ -96,7 +97,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (p *progress) show(format string, args ...any) {
+func (p *progress) update(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	if line == p.last {
 		return
@@ -109,8 +110,8 @@
 	fmt.Fprintln(p.w, line)
 }
 
-// end removes the line from a terminal, for what is printed next.
-func (p *progress) end() {
+// erase removes the status line on a terminal before other output.
+func (p *progress) erase() {
 	if p.terminal && p.last != "" {
 		fmt.Fprint(p.w, clearLine)
 	}
--- a/internal/cli/output_test.go
+++ b/internal/cli/output_test.go
@@ -9,11 +9,11 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// TestProgress shows a line in place on a terminal, and elsewhere only on
-// change.
+// TestProgress verifies that the status line is updated in place on a terminal,
+// and is printed only on change otherwise.
 func TestProgress(t *testing.T) {
 	c := qt.New(t)
-	for _, row := range []struct {
+	for _, tc := range []struct {
 		terminal bool
 		want     string
 	}{
@@ -21,17 +21,17 @@
 		{true, "\r\x1b[K1 of 2\r\x1b[K2 of 2\r\x1b[K"},
 	} {
 		var out bytes.Buffer
-		p := &progress{w: &out, terminal: row.terminal}
-		for _, there := range []int{1, 1, 2, 2} {
-			p.show("%d of 2", there)
+		p := &progress{w: &out, terminal: tc.terminal}
+		for _, inForce := range []int{1, 1, 2, 2} {
+			p.update("%d of 2", inForce)
 		}
-		p.end()
-		c.Check(out.String(), qt.Equals, row.want)
+		p.erase()
+		c.Check(out.String(), qt.Equals, tc.want)
 	}
 }
 
-// TestExitCodes holds the table whole: each code once, in order, and none
-// given that it lacks.
+// TestExitCodes verifies that ExitCodes lists every code once and in order, and
+// that every result code maps to a listed exit code.
 func TestExitCodes(t *testing.T) {
 	c := qt.New(t)
 	for i, e := range ExitCodes {
@@ -39,7 +39,7 @@
 		c.Check(e.Meaning, qt.Matches, "[A-Z].*\\.")
 	}
 	for code := range result.Codes() {
-		got := exitCode(result.Errorf(code, ""))
-		c.Check(got > ExitOK && got < len(ExitCodes), qt.IsTrue, qt.Commentf("%s gives %d", code, got))
+		exit := exitCode(result.Errorf(code, ""))
+		c.Check(exit > ExitOK && exit < len(ExitCodes), qt.IsTrue, qt.Commentf("%s gives %d", code, exit))
 	}
 }
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: thin cobra commands over the packages that
-// do the work.
+// Package cli implements the command line as thin cobra commands that call
+// other packages.
 package cli
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	// requestTimeout bounds one request to the operator API; a daemon answers
-	// a submission within 10 s.
+	// requestTimeout is the timeout of a request to the operator API. A daemon
+	// responds to a submission within 10 s.
 	requestTimeout = 30 * time.Second
 	defaultAddr    = "127.0.0.1:7400"
 )
 
-// Main runs the command line until it is done or a signal stops it, and
-// returns the exit code.
+// Main runs the command line until the command returns or SIGINT or SIGTERM
+// arrives, and returns the exit code.
 func Main(args []string, out, errOut io.Writer, platform LoadPlatform) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -34,7 +34,7 @@
 
 func run(ctx context.Context, args []string, out, errOut io.Writer, platform LoadPlatform) int {
 	root := newRoot(platform)
-	began := noteBegin(root)
+	started := trackStart(root)
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
@@ -42,42 +42,42 @@
 	if err == nil {
 		return ExitOK
 	}
-	if !*began {
-		err = usage("%v; see daisygate help", err)
+	if !*started {
+		err = usageError("%v; see daisygate help", err)
 	}
 	fmt.Fprintln(errOut, "daisygate:", err)
 	return exitCode(err)
 }
 
-// noteBegin tells whether a command began: what fails before is a fault of the
-// command line.
-func noteBegin(root *cobra.Command) *bool {
-	began := false
-	var note func(*cobra.Command)
-	note = func(parent *cobra.Command) {
+// trackStart wraps the RunE functions of all commands. The result becomes true
+// when one of them is called: an error before that is a usage error.
+func trackStart(root *cobra.Command) *bool {
+	started := false
+	var wrap func(*cobra.Command)
+	wrap = func(parent *cobra.Command) {
 		for _, c := range parent.Commands() {
-			note(c)
-			if begin := c.RunE; begin != nil {
+			wrap(c)
+			if runE := c.RunE; runE != nil {
 				c.RunE = func(cmd *cobra.Command, args []string) error {
-					began = true
-					return begin(cmd, args)
+					started = true
+					return runE(cmd, args)
 				}
 			}
 		}
 	}
-	note(root)
-	return &began
+	wrap(root)
+	return &started
 }
 
 func newRoot(platform LoadPlatform) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "daisygate",
-		Short: "Distributes a service mesh's configuration and carries its calls",
-		Long: `daisygate distributes the configuration of a service mesh and carries its calls.
+		Short: "Distributes the configuration of a service mesh and forwards its requests",
+		Long: `daisygate distributes the configuration of a service mesh and forwards its requests.
 
-Operators hand in a manifest, the whole intent for one mesh. A majority of the
-sources accepts it, every daemon puts it in force, and any daemon takes a
-caller's request to a backend server that can serve it.
+Operators submit a manifest, the complete desired configuration of one mesh. A
+majority of the sources accepts it, every daemon puts it in force, and any daemon
+forwards a caller's request to a backend server that can serve it.
 
 Try it: daisygate dev --demo
 
@@ -92,26 +92,27 @@
 	return root
 }
 
-// target is where a client command connects.
-type target struct {
+// apiOptions are the flags for connecting to the operator API of a daemon.
+type apiOptions struct {
 	addr      string
 	tokenFile string
 }
 
-func (t *target) flags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&t.addr, "operator", defaultAddr, "operator address of any daemon, ip:port")
-	cmd.Flags().StringVar(&t.tokenFile, "token-file", "", "file that holds the operator token; not needed on loopback if the daemon has none")
+func (o *apiOptions) flags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&o.addr, "operator", defaultAddr, "operator address of any daemon, ip:port")
+	cmd.Flags().StringVar(&o.tokenFile, "token-file", "", "file with the operator token; not needed on loopback if the daemon has none")
 }
 
-func (t *target) client() (*operator.Client, error) {
-	token, err := operator.ReadToken(t.tokenFile)
+func (o *apiOptions) client() (*operator.Client, error) {
+	token, err := operator.ReadToken(o.tokenFile)
 	if err != nil {
 		return nil, err
 	}
-	return &operator.Client{Addr: t.addr, Token: token, HTTP: &http.Client{Timeout: requestTimeout}}, nil
+	return &operator.Client{Addr: o.addr, Token: token, HTTP: &http.Client{Timeout: requestTimeout}}, nil
 }
 
-// usage is a fault of the command line, with what would be right.
-func usage(format string, args ...any) error {
+// usageError returns an error for a mistake in the command line. The message
+// says what is expected.
+func usageError(format string, args ...any) error {
 	return result.Errorf(result.UsageError, format, args...)
 }
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -25,18 +25,20 @@
 
 var update = flag.Bool("update", false, "rewrite the golden output in testdata/script")
 
-// patience bounds every wait for something that must happen; it is no measure.
-const patience = 60 * time.Second
+// waitTimeout limits every wait for an expected event. It is not a performance
+// requirement.
+const waitTimeout = 60 * time.Second
 
-// TestScript runs the golden sessions against a mesh in this process. The
-// command line is called as main calls it.
+// TestScript runs the scripts in testdata/script against a mesh in this process
+// and compares the output with the expected output. It calls the command line
+// like main.
 func TestScript(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata/script",
 		UpdateScripts: *update,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"mesh":      cmdMesh,
-			"daisygate": func(ts *testscript.TestScript, _ bool, args []string) { command(ts, ExitOK, args) },
+			"daisygate": func(ts *testscript.TestScript, _ bool, args []string) { expectExit(ts, ExitOK, args) },
 			"fails":     cmdFails,
 			"race":      cmdRace,
 			"settle":    cmdSettle,
@@ -54,24 +56,25 @@
 type session struct {
 	mesh  *dev.Mesh
 	token string
-	// release ends the request that hold began.
-	release context.CancelFunc
-	load    *load
+	// cancelHold ends the request started by the script command "hold".
+	cancelHold context.CancelFunc
+	load       *load
 }
 
-// sessions holds the mesh of each script by its work folder.
+// sessions maps the work directory of a script to its session.
 var sessions sync.Map
 
 func sessionOf(ts *testscript.TestScript) *session {
 	s, ok := sessions.Load(ts.Getenv("WORK"))
 	if !ok {
-		ts.Fatalf("no mesh: say mesh first")
+		ts.Fatalf("no mesh is running: the script must call mesh first")
 	}
 	return s.(*session)
 }
 
-// cmdMesh starts three daemons, with archive beside n1 and n2 and tree beside
-// n3. "mesh TOKEN" makes the content of a file the operators' token.
+// cmdMesh starts three daemons, with a backend server of service archive at n1
+// and n2 and of service tree at n3. "mesh FILE" uses the content of FILE as the
+// operator token.
 func cmdMesh(ts *testscript.TestScript, _ bool, args []string) {
 	cfg := dev.Config{Log: logr.Discard(), Servers: []dev.Server{
 		{Node: 0, Mesh: "ahnenbach", Service: "archive"},
@@ -95,7 +98,7 @@
 	for i, b := range s.mesh.Servers {
 		ts.Setenv(fmt.Sprintf("SERVER%d", i+1), b.Addr())
 	}
-	s.eventually(ts, func() error {
+	s.waitFor(ts, func() error {
 		for i := range s.mesh.Nodes {
 			status, err := s.client(i).Status(context.Background())
 			if err != nil {
@@ -117,21 +120,23 @@
 	return &operator.Client{Addr: s.mesh.Nodes[node].Operator, Token: s.token, HTTP: http.DefaultClient}
 }
 
-func (s *session) eventually(ts *testscript.TestScript, f func() error) {
-	deadline := time.Now().Add(patience)
+func (s *session) waitFor(ts *testscript.TestScript, f func() error) {
+	deadline := time.Now().Add(waitTimeout)
 	for err := f(); err != nil; err = f() {
 		if time.Now().After(deadline) {
-			ts.Fatalf("not in time: %v", err)
+			ts.Fatalf("timed out: %v", err)
 		}
-		// Slower than the operator API's limit: what waits uses up nothing.
+		// This is slower than the rate limit of the operator API, so polling
+		// does not exhaust it.
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// fileFlags are the flags whose value is a file of the script.
+// fileFlags are the flags whose value is a path relative to the script
+// directory.
 var fileFlags = map[string]bool{"-f": true, "--token-file": true, "--settings": true, "--data-dir": true}
 
-func invoke(ts *testscript.TestScript, args []string) (out, errOut bytes.Buffer, code int) {
+func runCLI(ts *testscript.TestScript, args []string) (out, errOut bytes.Buffer, code int) {
 	args = append([]string(nil), args...)
 	for i := 1; i < len(args); i++ {
 		if fileFlags[args[i-1]] {
@@ -142,9 +147,10 @@
 	return out, errOut, code
 }
 
-// command runs the command line and wants an exit code.
-func command(ts *testscript.TestScript, want int, args []string) {
-	out, errOut, code := invoke(ts, args)
+// expectExit runs the command line and fails the script unless it exits with
+// the wanted code.
+func expectExit(ts *testscript.TestScript, want int, args []string) {
+	out, errOut, code := runCLI(ts, args)
 	_, _ = ts.Stdout().Write(out.Bytes())
 	_, _ = ts.Stderr().Write(errOut.Bytes())
 	if code != want {
@@ -152,19 +158,20 @@
 	}
 }
 
-// cmdFails is "fails EXITCODE ARGS...".
+// cmdFails implements "fails EXITCODE ARGS...": it runs the command line and
+// expects the exit code.
 func cmdFails(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	command(ts, want, args[1:])
+	expectExit(ts, want, args[1:])
 }
 
-// cmdUntil is "until REGEXP ARGS...": the command line again and again, until
-// its output matches.
+// cmdUntil implements "until REGEXP ARGS...": it repeats the command line until
+// the output matches.
 func cmdUntil(ts *testscript.TestScript, _ bool, args []string) {
 	want := regexp.MustCompile(args[0])
-	sessionOf(ts).eventually(ts, func() error {
-		out, errOut, code := invoke(ts, args[1:])
+	sessionOf(ts).waitFor(ts, func() error {
+		out, errOut, code := runCLI(ts, args[1:])
 		if code != ExitOK || !want.MatchString(out.String()) {
 			return errors.Newf("exit code %d\n%s%s", code, out.String(), errOut.String())
 		}
@@ -172,15 +179,16 @@
 	})
 }
 
-// cmdRace submits two manifests at the same time through two daemons and wants
-// one accepted, the other refused with the first named by its content.
+// cmdRace submits two manifests concurrently through two daemons. It expects
+// that one is accepted and that the other is refused with an error that names
+// the content hash of the first.
 func cmdRace(ts *testscript.TestScript, _ bool, files []string) {
 	var wait sync.WaitGroup
 	var outs, errs [2]bytes.Buffer
 	var codes [2]int
 	for i, file := range files {
 		wait.Go(func() {
-			outs[i], errs[i], codes[i] = invoke(ts, []string{"apply", "-f", file, "--operator", ts.Getenv(fmt.Sprintf("N%d", i+2)), "--wait", patience.String()})
+			outs[i], errs[i], codes[i] = runCLI(ts, []string{"apply", "-f", file, "--operator", ts.Getenv(fmt.Sprintf("N%d", i+2)), "--wait", waitTimeout.String()})
 		})
 	}
 	wait.Wait()
@@ -193,18 +201,18 @@
 	}
 	_, _ = ts.Stdout().Write(outs[1-loser].Bytes())
 	_, _ = ts.Stderr().Write(errs[loser].Bytes())
-	out, _, _ := invoke(ts, []string{"history", "--operator", ts.Getenv("N1"), "--limit", "1"})
+	out, _, _ := runCLI(ts, []string{"history", "--operator", ts.Getenv("N1"), "--limit", "1"})
 	content := strings.Fields(strings.Split(out.String(), "\n")[1])[3]
 	if !strings.Contains(errs[loser].String(), content) {
 		ts.Fatalf("the winner %s is not named in %s", content, errs[loser].String())
 	}
 }
 
-// cmdSettle waits until every daemon and source has the newest version, both links and
-// sees every backend server.
+// cmdSettle waits until every daemon and source has the newest version, every
+// daemon has at least two links, and all backend servers are listed.
 func cmdSettle(ts *testscript.TestScript, _ bool, _ []string) {
 	s := sessionOf(ts)
-	s.eventually(ts, func() error {
+	s.waitFor(ts, func() error {
 		for i := range s.mesh.Nodes {
 			fleet, err := s.client(i).Fleet(context.Background(), false)
 			if err != nil {
@@ -229,15 +237,15 @@
 	dates     = regexp.MustCompile(`\d{4}-\d\d-\d\dT[\d:.]+Z`)
 	durations = regexp.MustCompile(`\bafter (\d+(\.\d+)?(ms|µs|s))+`)
 	contents  = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
-	// causes match what the system says of a lost connection.
+	// causes matches the operating system's error text for a lost connection.
 	causes = regexp.MustCompile(`before the answer came \(.*\)`)
-	// roles match a source's role, term and commit in the status table.
+	// roles matches the role, term and commit of a source in the status table.
 	roles  = regexp.MustCompile(`(leader|follower) +\d+ +\d+`)
 	blanks = regexp.MustCompile(` {2,}`)
 )
 
-// cmdNormal is "normal stdout FILE" or "normal stderr FILE": the last output
-// with everything that varies replaced.
+// cmdNormal implements "normal stdout FILE" and "normal stderr FILE": it writes
+// the last output to FILE with all variable parts replaced by placeholders.
 func cmdNormal(ts *testscript.TestScript, _ bool, args []string) {
 	text := ts.ReadFile(args[0])
 	text = strings.ReplaceAll(text, ts.Getenv("WORK")+string(filepath.Separator), "")
@@ -248,14 +256,15 @@
 	for i, b := range s.mesh.Servers {
 		text = strings.ReplaceAll(text, b.Addr(), fmt.Sprintf("<server%d>", i+1))
 	}
-	if losing := ts.Getenv("LOSING"); losing != "" {
-		text = strings.ReplaceAll(text, losing, "<losing>")
+	if losingAddr := ts.Getenv("LOSING"); losingAddr != "" {
+		text = strings.ReplaceAll(text, losingAddr, "<losing>")
 	}
 	text = dates.ReplaceAllString(text, "<date>")
 	text = durations.ReplaceAllString(text, "after <time>")
 	text = contents.ReplaceAllString(text, "<content>")
 	text = causes.ReplaceAllString(text, "before the answer came (<cause>)")
-	// A source that missed the answers of the others at the founding got its vote by a repair.
+	// A source that missed the responses of the others when the cluster was
+	// formed gets its vote through a repair.
 	text = strings.ReplaceAll(text, "ok, repair done", "ok")
 	text = roles.ReplaceAllString(text, "<role>  <term>  <commit>")
 	text = blanks.ReplaceAllString(text, "  ")
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -19,8 +19,8 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// LoadPlatform reads the settings of the platform that the process runs on, and
-// returns the adapter to it.
+// LoadPlatform reads the settings provided by the platform on which the process
+// runs, and returns them with the adapter to that platform.
 type LoadPlatform func() (settings.Settings, daemon.Platform, error)
 
 func newServe(platform LoadPlatform) *cobra.Command {
@@ -30,21 +30,21 @@
 		Use:   "serve {--settings FILE | --platform}",
 		Short: "Run the daemon of one instance",
 		Long: `Runs the daemon of one instance until it is interrupted or terminated. Then it
-leaves the fleet, finishes the requests in progress, and ends.
+leaves the fleet, finishes the requests in progress, and exits.
 
-With --platform the settings are those that the platform hands out, and callers,
-backend servers and operators speak in the platform's form.`,
+With --platform the settings come from the platform, and callers, backend servers
+and operators use the interfaces of the platform.`,
 		Example: "  daisygate serve --settings /etc/daisygate/node.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if onPlatform {
-				return serveOn(cmd.Context(), platform)
+				return serveWith(cmd.Context(), platform)
 			}
 			return serve(cmd.Context(), path)
 		},
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "settings file (YAML)")
-	cmd.Flags().BoolVar(&onPlatform, "platform", false, "run on the platform: take its settings, speak its form")
+	cmd.Flags().BoolVar(&onPlatform, "platform", false, "run on the platform, with its settings and interfaces")
 	cmd.MarkFlagsOneRequired("settings", "platform")
 	cmd.MarkFlagsMutuallyExclusive("settings", "platform")
 	_ = cmd.MarkFlagFilename("settings", "yaml", "yml")
@@ -52,7 +52,7 @@
 }
 
 func serve(ctx context.Context, path string) error {
-	return serveOn(ctx, func() (settings.Settings, daemon.Platform, error) {
+	return serveWith(ctx, func() (settings.Settings, daemon.Platform, error) {
 		set, err := settings.Load(path)
 		if err != nil {
 			return set, nil, errors.Newf("%s\n%v", path, err)
@@ -61,12 +61,12 @@
 	})
 }
 
-// serveOn runs a daemon with the settings and the platform that load returns;
-// it loads them again at each SIGHUP.
-func serveOn(ctx context.Context, load LoadPlatform) error {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+// serveWith runs a daemon with the settings and the platform adapter that load
+// returns, and reloads them on SIGHUP.
+func serveWith(ctx context.Context, load LoadPlatform) error {
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	defer signal.Stop(sighups)
 	set, platform, err := load()
 	if err != nil {
 		return result.Errorf(result.UsageError, "%v", err)
@@ -86,32 +86,33 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go reloads(ctx, hangups, d, load, set, log)
+	go reloadSettings(ctx, sighups, d, load, set, log)
 	return d.Run(ctx)
 }
 
-// settingsPoll is how often the settings are looked at without a signal.
-const settingsPoll = 5 * time.Second
+// settingsPollInterval is how often the settings are reloaded without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// reloads reads the settings again at each hangup, and now and then, for they
-// may change without one. Faulty ones change nothing.
-func reloads(ctx context.Context, hangups <-chan os.Signal, d *daemon.Daemon, load LoadPlatform, last settings.Settings, log logr.Logger) {
-	ticker := time.NewTicker(settingsPoll)
+// reloadSettings reloads the settings on each SIGHUP and every
+// settingsPollInterval, because they may change without a signal. Invalid
+// settings are logged and not applied.
+func reloadSettings(ctx context.Context, sighups <-chan os.Signal, d *daemon.Daemon, load LoadPlatform, last settings.Settings, log logr.Logger) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
-		asked := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
-			asked = true
+		case <-sighups:
+			requested = true
 		case <-ticker.C:
 		}
 		set, platform, err := load()
 		switch {
 		case err != nil:
 			log.Error(err, "settings not read again: the ones in force stay")
-		case asked || !reflect.DeepEqual(set, last) || d.IntendsOther(platform):
+		case requested || !reflect.DeepEqual(set, last) || d.IntendsOther(platform):
 			last = set
 			d.Reload(set, platform)
 		}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,49 +13,51 @@
 	"github.com/daisygate/daisygate/internal/process/source"
 )
 
-// statusReport is what status prints.
+// statusReport is the output of status.
 type statusReport struct {
-	// Daemon is the daemon that was asked.
+	// Daemon is the status of the contacted daemon.
 	Daemon operator.NodeStatus `json:"daemon"`
 	// Version is the highest fleet version in force on any daemon.
 	Version uint64 `json:"version"`
-	// InForce is the number of daemons that have it, of all Daemons.
+	// InForce is the number of daemons that have Version in force, out of
+	// Daemons.
 	InForce int `json:"in_force"`
 	Daemons int `json:"daemons"`
-	// Complete tells whether Fleet lists every daemon.
+	// Complete reports whether Fleet lists every daemon.
 	Complete bool                 `json:"complete"`
 	Fleet    []operator.FleetNode `json:"fleet"`
 }
 
 func newStatus() *cobra.Command {
-	var to target
+	var api apiOptions
 	var out output
 	var lagging, all bool
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show what is in force where, who lags and why",
-		Long: `Shows the sources (role, term, commit, failure, repair of a lost disk), and for each daemon the version
-in force, its links, its backend servers, and why it lags if it does.
+		Short: "Show which version is in force on which daemon, and which daemons lag and why",
+		Long: `Shows the sources (role, term, commit, failure, repair of a lost disk), and for
+each daemon the version in force, its links, its backend servers, and the reason
+if it lags.
 
-Of a fleet of more than 64 daemons it lists the sources, the daemon that is asked
-and a few that lag; the count is that of the whole fleet, as the daemons add it
-up among themselves. --all asks every daemon, one by one.`,
+In a fleet of more than 64 daemons it lists the sources, the contacted daemon and a
+few daemons that lag. The count covers the whole fleet, as aggregated by the daemons.
+--all queries every daemon, one by one.`,
 		Example: "  daisygate status --operator 127.0.0.1:7400\n  daisygate status --lagging -o json",
 		Args:    cobra.NoArgs,
-		RunE: ask(&to, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
+		RunE: runWithClient(&api, &out, func(cmd *cobra.Command, client *operator.Client) (any, func(io.Writer), error) {
 			report, err := readStatus(cmd.Context(), client, all)
 			if err != nil {
 				return nil, nil, err
 			}
 			if lagging {
-				report.Fleet = behind(report.Fleet, report.Version)
+				report.Fleet = laggingNodes(report.Fleet, report.Version)
 			}
 			return report, report.print, nil
 		}),
 	}
-	to.flags(cmd)
+	api.flags(cmd)
 	out.flags(cmd)
-	cmd.Flags().BoolVar(&all, "all", false, "list every daemon of a large fleet too")
+	cmd.Flags().BoolVar(&all, "all", false, "list every daemon, also in a large fleet")
 	cmd.Flags().BoolVar(&lagging, "lagging", false, "list only the daemons that do not have the newest version in force")
 	return cmd
 }
@@ -69,9 +71,9 @@
 	if err != nil {
 		return nil, err
 	}
-	seen := count(&fleet, newestVersion(&fleet))
+	seen := countInForce(&fleet, newestVersion(&fleet))
 	return &statusReport{
-		Daemon: status, Version: seen.version, InForce: seen.there,
+		Daemon: status, Version: seen.version, InForce: seen.inForce,
 		Daemons: seen.daemons, Complete: fleet.Complete, Fleet: fleet.Nodes,
 	}, nil
 }
@@ -96,28 +98,29 @@
 		table(w, "DAEMON\tDOMAIN\tVERSION\tLINKS\tSERVERS\tSTATE", daemons)
 	}
 	if !r.Complete {
-		fmt.Fprintln(w, "\nnot all daemons are listed; --all asks every one")
+		fmt.Fprintln(w, "\nnot all daemons are listed; --all queries every daemon")
 	}
 }
 
-// sourceState is "ok", or what a source cannot do and why.
+// sourceState returns "ok", or describes what a source cannot do and why.
 func sourceState(s *source.Status) string {
 	switch {
 	case s.Failure != "":
-		return "accepts nothing: " + s.Failure
+		return "accepts no changes: " + s.Failure
 	case s.Repair.State == replica.RepairAsking:
-		return "repair: empty data folder, waits for all other sources, no vote"
+		return "repair: empty data folder, waiting for all other sources, no vote"
 	case s.Repair.State == replica.RepairLearning:
-		return fmt.Sprintf("repair: holds %d of %d, no vote yet", s.Repair.Have, s.Repair.Need)
+		return fmt.Sprintf("repair: has log index %d of %d, no vote yet", s.Repair.Have, s.Repair.Need)
 	case s.Lead == "":
-		return "knows no leader"
+		return "no known leader"
 	case s.Repair.State == replica.RepairDone:
 		return "ok, repair done"
 	}
 	return "ok"
 }
 
-// nodeState is "in force", or why not, and what else is wrong with it.
+// nodeState returns "in force" or the reason why the version is not in force,
+// and any other problems of the daemon.
 func nodeState(n operator.FleetNode, version uint64) string {
 	var parts []string
 	if n.Version < version || !n.Ready {
@@ -126,7 +129,7 @@
 		parts = append(parts, "in force")
 	}
 	if n.Stale && n.Version >= version {
-		parts = append(parts, "stale: misses the leader's heartbeat")
+		parts = append(parts, "stale: no heartbeat from the leader")
 	}
 	for _, s := range n.Servers {
 		if s.State != "serving" {
@@ -136,17 +139,17 @@
 	return strings.Join(parts, "; ")
 }
 
-// lagReason says why a daemon does not have the version.
+// lagReason describes why a daemon does not have the version in force.
 func lagReason(n operator.FleetNode, version uint64) string {
 	switch {
 	case n.Error != "":
-		return "does not answer: " + n.Error
+		return "no response: " + n.Error
 	case n.Version >= version:
-		return "holds it, but does not know yet that it is the newest"
+		return "received, but not yet confirmed as the newest version"
 	case n.Links == 0:
-		return fmt.Sprintf("%d behind, has no link to another daemon", version-n.Version)
+		return fmt.Sprintf("%d behind, no link to another daemon", version-n.Version)
 	case n.Stale:
-		return fmt.Sprintf("%d behind, misses the leader's heartbeat", version-n.Version)
+		return fmt.Sprintf("%d behind, no heartbeat from the leader", version-n.Version)
 	}
 	return fmt.Sprintf("%d behind, catching up", version-n.Version)
 }
--- a/internal/cli/traffic_test.go
+++ b/internal/cli/traffic_test.go
@@ -17,51 +17,53 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// cmdLosing opens a way to an operator address that hands the first request
-// over and loses its answer; $LOSING is its address.
+// cmdLosing implements "losing ADDR": it starts a proxy to an operator address
+// that forwards the first request but drops its response, and sets $LOSING to
+// the address of the proxy.
 func cmdLosing(ts *testscript.TestScript, _ bool, args []string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	ts.Check(err)
 	ts.Defer(func() { _ = listener.Close() })
 	ts.Setenv("LOSING", listener.Addr().String())
 	go func() {
-		for lose := true; ; lose = false {
+		for dropResponse := true; ; dropResponse = false {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go relay(conn, args[0], lose)
+			go relay(conn, args[0], dropResponse)
 		}
 	}()
 }
 
-// relay joins two connections; when it loses, it ends both at the first bytes
-// of the answer.
-func relay(conn net.Conn, addr string, lose bool) {
+// relay copies data between conn and a connection to addr. If dropResponse is
+// true, it closes both when the first byte of the response arrives.
+func relay(conn net.Conn, addr string, dropResponse bool) {
 	defer func() { _ = conn.Close() }()
-	up, err := net.Dial("tcp", addr)
+	upstream, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
-	defer func() { _ = up.Close() }()
-	go func() { _, _ = io.Copy(up, conn) }()
-	if lose {
-		_, _ = up.Read(make([]byte, 1))
+	defer func() { _ = upstream.Close() }()
+	go func() { _, _ = io.Copy(upstream, conn) }()
+	if dropResponse {
+		_, _ = upstream.Read(make([]byte, 1))
 		return
 	}
-	_, _ = io.Copy(conn, up)
+	_, _ = io.Copy(conn, upstream)
 }
 
-// cmdHold is "hold ADDR PATH": a POST that runs until "hold" without arguments.
+// cmdHold implements "hold ADDR PATH": it starts a POST request that runs until
+// "hold" is called without arguments.
 func cmdHold(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	if len(args) == 0 {
-		s.release()
+		s.cancelHold()
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ts.Defer(cancel)
-	s.release = cancel
+	s.cancelHold = cancel
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+args[0]+args[1], nil)
 	ts.Check(err)
 	req.Header.Set(standin.HeaderDelay, "1h")
@@ -71,15 +73,15 @@
 			_ = resp.Body.Close()
 		}
 	}()
-	s.eventually(ts, func() error {
+	s.waitFor(ts, func() error {
 		if s.running(ts) == before {
-			return errors.New("request not begun")
+			return errors.New("request has not started")
 		}
 		return nil
 	})
 }
 
-// load sends requests to every daemon until it is stopped.
+// load sends requests to every daemon until stop is closed.
 type load struct {
 	stop   chan struct{}
 	wait   sync.WaitGroup
@@ -87,28 +89,29 @@
 	failed atomic.Pointer[string]
 }
 
-// cmdLoad is "load PATH": requests to every daemon, each after the other, until
-// "load" without arguments, which fails if one was not run, or not once.
+// cmdLoad implements "load PATH": it sends requests to every daemon,
+// sequentially for each daemon, until "load" is called without arguments. That
+// call fails unless every request was run exactly once.
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	if len(args) == 0 {
-		s.endLoad(ts)
+		s.stopLoad(ts)
 		return
 	}
 	s.load = &load{stop: make(chan struct{})}
 	for _, n := range s.mesh.Nodes {
-		s.load.wait.Go(func() { s.load.work("http://"+n.Caller+args[0], n.Name) })
+		s.load.wait.Go(func() { s.load.sendRequests("http://"+n.Caller+args[0], n.Name) })
 	}
 }
 
-func (l *load) work(url, name string) {
+func (l *load) sendRequests(url, name string) {
 	for i := 0; ; i++ {
 		select {
 		case <-l.stop:
 			return
 		default:
 		}
-		if err := get(url, fmt.Sprintf("%s-%d", name, i)); err != nil {
+		if err := sendRequest(url, fmt.Sprintf("%s-%d", name, i)); err != nil {
 			text := err.Error()
 			l.failed.Store(&text)
 		}
@@ -116,7 +119,7 @@
 	}
 }
 
-func get(url, id string) error {
+func sendRequest(url, id string) error {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -134,7 +137,7 @@
 	return err
 }
 
-func (s *session) endLoad(ts *testscript.TestScript) {
+func (s *session) stopLoad(ts *testscript.TestScript) {
 	close(s.load.stop)
 	s.load.wait.Wait()
 	if text := s.load.failed.Load(); text != nil {
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -12,15 +12,15 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// checked is what validate prints.
-type checked struct {
+// validateReport is the output of validate.
+type validateReport struct {
 	File     string `json:"file"`
 	OK       bool   `json:"ok"`
 	Mesh     string `json:"mesh,omitempty"`
 	Version  uint64 `json:"version,omitempty"`
 	Services int    `json:"services"`
 	Routes   int    `json:"routes"`
-	// Faults lists everything wrong with the file.
+	// Faults lists all errors found in the file.
 	Faults manifest.Faults `json:"faults,omitempty"`
 }
 
@@ -30,8 +30,8 @@
 	cmd := &cobra.Command{
 		Use:   "validate -f MANIFEST",
 		Short: "Check a manifest offline",
-		Long: `Checks a manifest without asking any daemon and lists every fault at once, with
-line, column and what would be right.`,
+		Long: `Checks a manifest without contacting a daemon and lists all faults at once, with
+line, column and what is expected.`,
 		Example: "  daisygate validate -f examples/ahnenbach.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -54,7 +54,7 @@
 
 func validate(w io.Writer, path string, out *output) error {
 	m, _, err := readManifest(path)
-	c := checked{File: path, OK: err == nil}
+	c := validateReport{File: path, OK: err == nil}
 	if m != nil {
 		c.Mesh, c.Version, c.Services, c.Routes = m.Mesh, m.Version, len(m.Services), len(m.Routes)
 	}
@@ -67,23 +67,24 @@
 	return errors.CombineErrors(err, printErr)
 }
 
-// invalid is a manifest's faults under their result code.
-type invalid struct {
+// invalidManifest is an error that combines the faults of a manifest with a
+// result code.
+type invalidManifest struct {
 	coded  *result.Error
 	faults manifest.Faults
 }
 
 // Error implements the error interface.
-func (e *invalid) Error() string { return e.coded.Error() }
+func (e *invalidManifest) Error() string { return e.coded.Error() }
 
-// Unwrap gives errors.As both.
-func (e *invalid) Unwrap() []error { return []error{e.coded, e.faults} }
+// Unwrap returns both errors for errors.Is and errors.As.
+func (e *invalidManifest) Unwrap() []error { return []error{e.coded, e.faults} }
 
-// readManifest reads and checks a file.
+// readManifest reads and validates a manifest file.
 func readManifest(path string) (*manifest.Manifest, []byte, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, usage("--file: %v", err)
+		return nil, nil, usageError("--file: %v", err)
 	}
 	m, err := manifest.Parse(raw)
 	if err == nil {
@@ -92,7 +93,7 @@
 	coded := result.Errorf(result.ManifestInvalid, "%s\n%v", path, err)
 	var faults manifest.Faults
 	if errors.As(err, &faults) {
-		return nil, nil, &invalid{coded: coded, faults: faults}
+		return nil, nil, &invalidManifest{coded: coded, faults: faults}
 	}
 	return nil, nil, coded
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -8,18 +8,18 @@
 	"github.com/spf13/cobra"
 )
 
-// Version and Revision name the release and the commit this binary was built
-// from. A build sets them with
+// Version and Revision are the release and the commit from which this binary was
+// built. A build sets them with
 //
 //	-ldflags "-X github.com/daisygate/daisygate/internal/cli.Revision=..."
 //
-// An unset Revision is read from the build information, if it is there.
+// If Revision is not set, it is read from the build information, if available.
 var (
 	Version  = "0.1.0-dev"
 	Revision = ""
 )
 
-// buildReport is what version prints.
+// buildReport is the output of version.
 type buildReport struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
