--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,10 +1,10 @@
-// Package standin is a small backend server for tests and measurements: it
-// announces itself to the daemon beside it, runs requests, and keeps a record
-// of each run, so that lost and doubled requests can be counted.
+// Package standin implements a small backend server for tests and benchmarks.
+// It announces itself to the daemon on its instance, runs requests, and records
+// every run, so that lost and duplicated requests can be counted.
 //
-// Request headers steer it: X-Standin-Id names the request in the record,
-// X-Standin-Delay (a Go duration) is how long it runs, X-Standin-Crash ends the
-// process in the middle of the run.
+// Request headers control it: X-Standin-Id is the ID of the request in the
+// record, X-Standin-Delay (a Go duration) is how long the request runs, and
+// X-Standin-Crash ends the process while the request is running.
 package standin
 
 import (
@@ -27,40 +27,46 @@
 	"github.com/daisygate/daisygate/internal/connection/announce"
 )
 
-// The headers and paths of the stand-in.
+// Header names and paths of the stand-in server.
 const (
 	HeaderID    = "X-Standin-Id"
 	HeaderDelay = "X-Standin-Delay"
 	HeaderCrash = "X-Standin-Crash"
-	// HeaderServer tells in the answer which server ran the request.
+	// HeaderServer is the response header with the address of the server that
+	// ran the request.
 	HeaderServer = "X-Standin-Server"
-	// RunsPath returns the record as JSON: runs by request.
+	// RunsPath serves the record as JSON: the number of runs by request ID.
 	RunsPath = "/__standin/runs"
 )
 
-const renewInterval = time.Second
+// announceInterval is the time between two announcements, and the timeout of
+// one.
+const announceInterval = time.Second
 
-// leaveQuiet is how long nothing may have run before a draining server closes:
-// a request that had its slot before the acknowledgement may still be on its
-// way, and one that meets a closing connection is lost.
-const leaveQuiet = 200 * time.Millisecond
+// drainQuietPeriod is how long no request may have run before a draining server
+// closes. A request that was assigned a slot before the draining announcement
+// was acknowledged may still be in transit, and would be lost if it arrived at
+// a closing connection.
+const drainQuietPeriod = 200 * time.Millisecond
 
-// Config is fixed for the life of a Server.
+// Config is the immutable configuration of a Server.
 type Config struct {
 	// Listen is "ip:port"; port 0 lets the system choose.
 	Listen string
-	// AnnounceAddr is the announcement listener of the daemon beside it.
+	// AnnounceAddr is the address of the announcement listener of the daemon on
+	// the same instance.
 	AnnounceAddr string
 	Announcement announce.Announcement
-	// Answer is sent back when the request has no body to echo.
+	// Answer is the response body for a request without a body to echo.
 	Answer string
-	// Crash is what HeaderCrash does; nil ends the process.
+	// Crash is called for a request with HeaderCrash; nil exits the process.
 	Crash func()
-	// Fails reports whether a request is answered with status 500; nil fails none.
+	// Fails reports whether a request gets a response with status 500; nil
+	// fails none.
 	Fails func(r *http.Request) bool
 }
 
-// Server is one running stand-in.
+// Server is a stand-in backend server.
 type Server struct {
 	cfg      Config
 	listener net.Listener
@@ -68,11 +74,12 @@
 
 	mu   sync.Mutex
 	runs map[string]int
-	// running and peak count requests in progress.
+	// running is the number of requests in progress, peak its maximum, and
+	// requests the number of requests started.
 	running, peak, requests atomic.Int64
 }
 
-// New opens the listener.
+// New returns a Server with an open listener; Run serves on it.
 func New(cfg Config) (*Server, error) {
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -90,21 +97,22 @@
 	return s, nil
 }
 
-// Addr is the address the server listens on.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Requests is how many requests it began to work at.
+// Requests returns the number of requests that were started.
 func (s *Server) Requests() int { return int(s.requests.Load()) }
 
-// Peak is the most requests that ran at one time.
+// Peak returns the maximum number of requests that ran concurrently.
 func (s *Server) Peak() int64 { return s.peak.Load() }
 
-// Run serves and announces until ctx ends; then it leaves as a good server
-// does: announce draining, finish what runs, withdraw.
+// Run serves requests and announces the server until ctx ends. It then shuts
+// down gracefully: it announces that it is draining, finishes the requests in
+// progress, and withdraws its announcement.
 func (s *Server) Run(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- s.http.Serve(s.listener) }()
-	ticker := time.NewTicker(renewInterval)
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
 		_ = s.announce("serving")
@@ -112,17 +120,17 @@
 		case err := <-done:
 			return err
 		case <-ctx.Done():
-			return s.leave()
+			return s.shutDown()
 		case <-ticker.C:
 		}
 	}
 }
 
-func (s *Server) leave() error {
+func (s *Server) shutDown() error {
 	_ = s.announce("draining")
-	for quiet := time.Now(); time.Since(quiet) < leaveQuiet; time.Sleep(10 * time.Millisecond) {
+	for lastActive := time.Now(); time.Since(lastActive) < drainQuietPeriod; time.Sleep(10 * time.Millisecond) {
 		if s.running.Load() > 0 {
-			quiet = time.Now()
+			lastActive = time.Now()
 		}
 	}
 	_ = s.withdraw()
@@ -148,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	client := http.Client{Timeout: renewInterval}
+	client := http.Client{Timeout: announceInterval}
 	resp, err := client.Do(req)
 	if err != nil {
 		return err
@@ -161,7 +169,7 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.begin(r.Header.Get(HeaderID))
+	s.startRequest(r.Header.Get(HeaderID))
 	defer s.running.Add(-1)
 	if r.Header.Get(HeaderCrash) != "" {
 		s.cfg.Crash()
@@ -183,12 +191,13 @@
 		_, _ = io.WriteString(w, s.cfg.Answer)
 		return
 	}
-	// Without it net/http reads away up to 256 KiB of the body before the answer.
+	// Otherwise net/http would read and discard up to 256 KiB of the body
+	// before sending the response.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	_, _ = io.Copy(w, r.Body)
 }
 
-func (s *Server) begin(id string) {
+func (s *Server) startRequest(id string) {
 	s.requests.Add(1)
 	running := s.running.Add(1)
 	for peak := s.peak.Load(); running > peak; peak = s.peak.Load() {
@@ -202,7 +211,7 @@
 	s.mu.Unlock()
 }
 
-// Runs returns how often each named request was run.
+// Runs returns the number of runs by request ID, for requests that have one.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
