--- a/cmd/daisygate/main.go
+++ b/cmd/daisygate/main.go
@@ -1,5 +1,5 @@
-// Command daisygate is the one binary of the project: the daemon and the
-// operators' command line.
+// Command daisygate is the single binary of the project. It contains the daemon
+// and the command line for operators.
 package main
 
 import (
