--- a/internal/connection/upstream/upload.go
+++ b/internal/connection/upstream/upload.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBody marks a failure to read the request body: the caller cut it off.
+// ErrBody marks a failure to read the request body: the caller aborted it.
 var ErrBody = errors.New("request body ended prematurely")
 
 const uploadBufferSize = 32 << 10
