--- a/soak/backend.go
+++ b/soak/backend.go
@@ -17,27 +17,27 @@
 
 const (
 	slots = 8
-	// workLeast and workMost bound the work of one request.
-	workLeast, workMost = 2 * time.Millisecond, 40 * time.Millisecond
-	// failing is the share of requests that the server answers with 500.
-	failing = 0.01
-	// refusedShare is the part of the requests that is refused while a server refuses, and
-	// callingShare that of the runs that call the other service.
+	// minWork and maxWork bound the duration of one request.
+	minWork, maxWork = 2 * time.Millisecond, 40 * time.Millisecond
+	// failureShare is the share of requests that the server answers with status 500.
+	failureShare = 0.01
+	// refusedShare is the share of requests refused while refusing is set. callingShare is
+	// the share of executed safe requests that call the other service.
 	refusedShare   = 0.5
 	callingShare   = 0.5
 	reportInterval = 500 * time.Millisecond
-	// callTimeout bounds one call to the daemon beside.
+	// callTimeout bounds one call to the local daemon.
 	callTimeout = time.Second
 )
 
-// backend is a backend server, which lives in this process behind a proxy.
+// backend is a backend server that runs in this process behind a fault-injecting proxy.
 type backend struct {
-	h                      *History
+	history                *History
 	service, addr, control string
-	// daemon is the daemon beside, outbound where its callers send.
+	// daemon is the name of the local daemon and outbound its address for outgoing requests.
 	daemon, outbound string
-	calls            *http.Client
-	// refusing is set while a part of the requests is refused.
+	client           *http.Client
+	// refusing is set while the server refuses a share of its requests.
 	refusing          atomic.Bool
 	proxy             *proxy
 	mu                sync.Mutex
@@ -51,18 +51,18 @@
 func hashOf(parts ...string) uint64 {
 	f := fnv.New64a()
 	for _, part := range parts {
-		_, _ = io.WriteString(f, part) // a hash does not fail
+		_, _ = io.WriteString(f, part) // writes to a hash never fail
 		_, _ = f.Write([]byte{0})
 	}
 	return f.Sum64()
 }
 
-// signature is what a server puts under an answer.
+// signature returns the Response-Signature value of an answer.
 func signature(id string, status int, body []byte) string {
 	return fmt.Sprintf("%016x", hashOf("soak", id, fmt.Sprint(status), string(body)))
 }
 
-// start begins a new boot.
+// start begins to serve under a new boot ID.
 func (b *backend) start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,15 +76,15 @@
 	b.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(boot, w, r) })}
 	server, to := b.server, l.Addr().String()
 	go func() { _ = server.Serve(l) }()
-	b.proxy.to.Store(&to)
+	b.proxy.target.Store(&to)
 	return nil
 }
 
-// crash ends the present boot without a word.
+// crash closes the server and resets all connections without draining.
 func (b *backend) crash() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.proxy.to.Store(nil)
+	b.proxy.target.Store(nil)
 	if b.server != nil {
 		_ = b.server.Close()
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return
 	}
-	repeat := b.h.arrive(id, b.service)
+	repeat := b.history.recordArrival(id, b.service)
 	if want := r.Header.Get(headerInstance); want != "" && want != boot {
 		w.Header().Set(headerNotRun, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -127,20 +127,20 @@
 		return
 	}
 	defer b.running.Add(-1)
-	note(b.h, &b.h.Ran, Ran{
+	record(b.history, &b.history.Runs, Exec{
 		ID: id, Boot: boot, Service: b.service, Method: r.Method, Path: r.URL.Path, Origin: r.Header.Get(headerOrigin),
 		Body: hashOf(string(body)), At: time.Now(),
 	})
 	if strings.HasPrefix(r.URL.Path, pathSafe) && rand.Float64() < callingShare {
-		b.callOther(repeat)
+		b.callOtherService(repeat)
 	}
 	select {
-	case <-time.After(workLeast + rand.N(workMost-workLeast)):
+	case <-time.After(minWork + rand.N(maxWork-minWork)):
 	case <-r.Context().Done():
 		return
 	}
 	status := http.StatusOK
-	if rand.Float64() < failing {
+	if rand.Float64() < failureShare {
 		status = http.StatusInternalServerError
 	}
 	answer := []byte(strings.Repeat(id+" ", 1+rand.IntN(200)))
@@ -149,21 +149,21 @@
 	_, _ = w.Write(answer)
 }
 
-// callOther sends a request of the server's own, as a part of a run.
-func (b *backend) callOther(byRepeat bool) {
+// callOtherService sends a request to the other service while a request is executed.
+func (b *backend) callOtherService(fromRepeat bool) {
 	id := fmt.Sprintf("%s-call-%d", b.daemon, rand.Uint64())
-	if byRepeat {
-		b.h.inherit(id)
+	if fromRepeat {
+		b.history.markRepeatCall(id)
 	}
-	s := send(b.calls, "http://"+b.outbound, request{kind: "safe", path: pathCalled, method: http.MethodGet}, id)
+	s := send(b.client, "http://"+b.outbound, request{kind: "safe", path: pathCalled, method: http.MethodGet}, id)
 	s.Daemon = b.daemon
-	note(b.h, &b.h.Sent, s)
+	record(b.history, &b.history.Sent, s)
 }
 
-// report tells the daemon beside of the server until ctx ends.
-func (b *backend) report(ctx context.Context) {
+// reportLoop reports the server's state to the local daemon until ctx ends.
+func (b *backend) reportLoop(ctx context.Context) {
 	for {
-		b.tell(ctx)
+		b.sendReport(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -172,24 +172,24 @@
 	}
 }
 
-// tell sends one report and returns whether it was acknowledged.
-func (b *backend) tell(ctx context.Context) bool {
+// sendReport sends one report and returns whether it was acknowledged.
+func (b *backend) sendReport(ctx context.Context) bool {
 	b.mu.Lock()
 	boot, state := b.boot, "ready"
 	if b.draining {
 		state = "draining"
 	}
 	b.mu.Unlock()
-	body, _ := json.Marshal(map[string]any{ // maps of plain values always encode
+	body, _ := json.Marshal(map[string]any{ // cannot fail: the map holds only plain values
 		"address":     b.addr,
 		"information": map[string]any{"service": b.service, "version": "v1", "zone": "z", "max_concurrency": slots},
 		"status":      map[string]any{"state": state, "sequence": b.sequence.Add(1), "cold_remaining_ms": 0},
 	})
-	return b.call(ctx, callReport+boot, body)
+	return b.callDaemon(ctx, callReport+boot, body)
 }
 
-// leave drains the server as the platform does: it reports, waits, ends, and comes
-// back as another boot.
+// leave drains the server as the platform does: it reports the draining state, waits,
+// deregisters and stops. The caller starts it again under a new boot ID.
 func (b *backend) leave(ctx context.Context) {
 	b.mu.Lock()
 	b.draining = true
@@ -197,20 +197,20 @@
 	b.mu.Unlock()
 	acked := false
 	for range 6 {
-		if acked = b.tell(ctx); acked {
-			note(b.h, &b.h.Drains, Drained{Boot: boot, At: time.Now()})
+		if acked = b.sendReport(ctx); acked {
+			record(b.history, &b.history.Drains, AckedDrain{Boot: boot, At: time.Now()})
 			break
 		}
 		time.Sleep(reportInterval)
 	}
-	time.Sleep(drainTime + 200*time.Millisecond)
-	b.call(ctx, callLeave+boot, nil)
+	time.Sleep(drainGrace + 200*time.Millisecond)
+	b.callDaemon(ctx, callLeave+boot, nil)
 	b.crash()
 }
 
-// call sends a call about this server to the daemon beside and reports whether
-// it got a 2xx.
-func (b *backend) call(ctx context.Context, call string, body []byte) bool {
+// callDaemon sends a control call about this server to the local daemon and returns
+// whether the status was 2xx.
+func (b *backend) callDaemon(ctx context.Context, call string, body []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	status, _ := post(ctx, b.control, call, body, nil)
--- a/soak/backend_test.go
+++ b/soak/backend_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLeavingServerIsNotHealthy holds the stand-in to the platform's page: a server
-// that leaves says so at its health check.
+// TestLeavingServerIsNotHealthy checks that a draining server fails its health check, as
+// the platform requires.
 func TestLeavingServerIsNotHealthy(t *testing.T) {
 	c := qt.New(t)
-	b := &backend{h: &History{}}
+	b := &backend{history: &History{}}
 	status := func() int {
 		w := httptest.NewRecorder()
 		b.serve("boot", w, httptest.NewRequest(http.MethodGet, healthPath, nil))
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -15,61 +15,61 @@
 )
 
 const (
-	// callersEach is how many callers each daemon has, callerPause the mean time
-	// between two requests of one.
-	callersEach = 4
-	callerPause = 40 * time.Millisecond
-	deadline    = 2 * time.Second
-	uploadBytes = 64 << 10
+	// callersPerDaemon is the number of callers of each daemon, callerPause the mean time
+	// between two requests of one caller.
+	callersPerDaemon = 4
+	callerPause      = 40 * time.Millisecond
+	requestDeadline  = 2 * time.Second
+	maxUploadBytes   = 64 << 10
 )
 
-// startCallers sends requests at every daemon until ctx ends.
-func (w *world) startCallers(ctx context.Context) {
-	for i, p := range w.daemons {
-		for k := range callersEach {
-			w.wait.Go(func() { w.call(ctx, p, rand.New(rand.NewPCG(w.o.Seed, uint64(100*i+k)))) })
+// startCallers sends requests through every daemon until ctx ends.
+func (cl *cluster) startCallers(ctx context.Context) {
+	for i, p := range cl.daemons {
+		for k := range callersPerDaemon {
+			cl.wait.Go(func() { cl.runCaller(ctx, p, rand.New(rand.NewPCG(cl.o.Seed, uint64(100*i+k)))) })
 		}
 	}
 }
 
-// call is one caller. It keeps its connection until the daemon closes it.
-func (w *world) call(ctx context.Context, p *process, random *rand.Rand) {
+// runCaller is the loop of one caller. It keeps its connection until the daemon closes it.
+func (cl *cluster) runCaller(ctx context.Context, p *process, random *rand.Rand) {
 	client := newClient(1)
 	for n := 0; ctx.Err() == nil; n++ {
-		s := w.send(client, p, random, fmt.Sprintf("%s-%d-%d", p.name, random.Uint64(), n))
-		note(w.history, &w.history.Sent, s)
-		w.sleep(ctx, time.Duration(random.Int64N(int64(2*callerPause))))
+		s := cl.sendRandom(client, p, random, fmt.Sprintf("%s-%d-%d", p.name, random.Uint64(), n))
+		record(cl.history, &cl.history.Sent, s)
+		cl.sleep(ctx, time.Duration(random.Int64N(int64(2*callerPause))))
 	}
 }
 
-// request is what a caller asks for.
+// request describes a request to send.
 type request struct {
 	kind, path, method string
 	bytes              int
 }
 
-// newClient keeps a few connections open. A request is sent on a new one where the last one
-// was closed: what the transport would send again by itself would be a request with an id
-// that ran.
+// newClient returns a client that keeps up to idle connections open. A request whose
+// connection was closed goes out on a new connection: a retry by the transport would reuse
+// the ID of a request that may have been executed.
 func newClient(idle int) *http.Client {
-	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: idle}, Timeout: deadline + 500*time.Millisecond}
+	return &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: idle}, Timeout: requestDeadline + 500*time.Millisecond}
 }
 
-func (w *world) send(client *http.Client, p *process, random *rand.Rand, id string) Sent {
-	kinds := []request{{"safe", pathSafe, "GET", 0}, {"safe", pathSafe, "GET", 0}, {"unsafe", pathUnsafe, "POST", 100}, {"unsafe", pathMoving, "POST", 10}, {"upload", pathUpload, "POST", 1 + random.IntN(uploadBytes)}}
-	s := send(client, "http://"+w.addr(p, portOutbound), kinds[random.IntN(len(kinds))], id)
+func (cl *cluster) sendRandom(client *http.Client, p *process, random *rand.Rand, id string) SentRequest {
+	kinds := []request{{"safe", pathSafe, "GET", 0}, {"safe", pathSafe, "GET", 0}, {"unsafe", pathUnsafe, "POST", 100}, {"unsafe", pathMoving, "POST", 10}, {"upload", pathUpload, "POST", 1 + random.IntN(maxUploadBytes)}}
+	s := send(client, "http://"+cl.addr(p, portOutbound), kinds[random.IntN(len(kinds))], id)
 	s.Daemon = p.name
 	return s
 }
 
-// send sends a request to the daemon at base.
-func send(client *http.Client, base string, k request, id string) Sent {
+// send sends a request through the daemon at base.
+func send(client *http.Client, base string, k request, id string) SentRequest {
 	body := strings.Repeat("b", k.bytes)
-	s := Sent{ID: id, Method: k.method, Path: k.path + id, Kind: k.kind, Body: hashOf(body), At: time.Now()}
-	// A reader without a known rewind: net/http then never sends a body again.
+	s := SentRequest{ID: id, Method: k.method, Path: k.path + id, Kind: k.kind, Body: hashOf(body), At: time.Now()}
+	// A plain reader has no GetBody, so net/http never sends the body a second time.
 	req, err := http.NewRequest(k.method, base+s.Path, io.NopCloser(bytes.NewReader([]byte(body))))
 	if err != nil {
-		s.Unread, s.Ended = true, time.Now()
+		s.NotConnected, s.Ended = true, time.Now()
 		return s
 	}
 	req.ContentLength = int64(len(body))
@@ -78,11 +78,11 @@
 	}
 	req.Host = host
 	req.Header.Set(headerID, id)
-	req.Header.Set(headerDeadline, fmt.Sprint(deadline.Milliseconds()))
+	req.Header.Set(headerDeadline, fmt.Sprint(requestDeadline.Milliseconds()))
 	resp, err := client.Do(req)
 	if err != nil {
 		var op *net.OpError
-		s.Unread = errors.As(err, &op) && op.Op == "dial"
+		s.NotConnected = errors.As(err, &op) && op.Op == "dial"
 		s.Ended = time.Now()
 		return s
 	}
@@ -95,6 +95,6 @@
 	s.Status = resp.StatusCode
 	sig := resp.Header.Get(headerSignature)
 	s.Signed = sig != ""
-	s.Sound = s.Signed && sig == signature(id, resp.StatusCode, raw)
+	s.Valid = s.Signed && sig == signature(id, resp.StatusCode, raw)
 	return s
 }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -9,108 +9,108 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// begin is when the made-up runs begin.
-var begin = time.Unix(1_000_000, 0)
+// testStart is the start time of the synthetic histories.
+var testStart = time.Unix(1_000_000, 0)
 
 func at(seconds float64) time.Time {
-	return begin.Add(time.Duration(seconds * float64(time.Second)))
+	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// sound is a history in which every promise is kept.
-func sound() *History {
+// validHistory returns a history in which every promise is kept.
+func validHistory() *History {
 	h := &History{
-		Begin: begin, Calm: at(10), End: at(20), Services: map[string]string{"d": serviceA},
-		Orders: []Order{
+		Begin: testStart, SteadyFrom: at(10), End: at(20), Services: map[string]string{"d": serviceA},
+		Changes: []ConfigChange{
 			{Version: 1, Moving: serviceA, At: at(0), Acked: at(0.1)},
 			{Version: 3, Base: 1, Moving: serviceA, At: at(5), Acked: at(5.1)},
 		},
 		Sources: []string{"s", "t"},
-		Reads:   []Read{{At: at(6), Source: "t", Version: 3}, {At: at(21), Source: "s", Version: 3}, {At: at(22), Source: "t", Version: 3}},
+		Reads:   []ConfigRead{{At: at(6), Source: "t", Version: 3}, {At: at(21), Source: "s", Version: 3}, {At: at(22), Source: "t", Version: 3}},
 	}
 	for _, id := range []string{"a", "b"} {
-		h.Sent = append(h.Sent, Sent{
+		h.Sent = append(h.Sent, SentRequest{
 			ID: id, Daemon: "d", Method: "POST", Path: pathUnsafe + id, Kind: "unsafe", Body: 7,
-			At: at(11), Ended: at(11.1), Status: 200, Sound: true, Signed: true,
+			At: at(11), Ended: at(11.1), Status: 200, Valid: true, Signed: true,
 		})
-		h.Ran = append(h.Ran, Ran{ID: id, Boot: "s-1", Service: serviceA, Method: "POST", Path: pathUnsafe + id, Origin: serviceA, Body: 7, At: at(11.05)})
+		h.Runs = append(h.Runs, Exec{ID: id, Boot: "s-1", Service: serviceA, Method: "POST", Path: pathUnsafe + id, Origin: serviceA, Body: 7, At: at(11.05)})
 	}
 	return h
 }
 
 func TestSoundHistoryIsSound(t *testing.T) {
-	qt.New(t).Check(check(sound()).Broken, qt.HasLen, 0)
+	qt.New(t).Check(check(validHistory()).Violations, qt.HasLen, 0)
 }
 
-// TestBrokenPromisesAreFound plants each broken promise.
+// TestBrokenPromisesAreFound violates each promise in turn and checks that it is reported.
 func TestBrokenPromisesAreFound(t *testing.T) {
-	for name, plant := range map[string]func(h *History){
-		"MIXED unsigned":       func(h *History) { h.Sent[0].Sound, h.Sent[0].Signed = false, false },
-		"MIXED other status":   func(h *History) { h.Sent[0].Sound, h.Sent[0].Status = false, 500 },
-		"TWICE":                func(h *History) { h.Ran = append(h.Ran, h.Ran[0]) },
-		"REFUSED and ran":      func(h *History) { h.Sent[0].Status = 503; h.Sent[0].Sound, h.Sent[0].Signed = false, false },
-		"REFUSED runs later":   func(h *History) { h.Ran[0].At = at(15); h.Sent[0].Status = 504; h.Sent[0].Signed = false },
-		"UNASKED id":           func(h *History) { h.Ran = append(h.Ran, Ran{ID: "nobody's", Service: serviceA, Path: pathSafe}) },
-		"UNASKED body":         func(h *History) { h.Ran[0].Body = 8 },
-		"UNASKED path":         func(h *History) { h.Ran[0].Path = pathUnsafe + "other" },
-		"UNASKED origin":       func(h *History) { h.Ran[0].Origin = serviceB },
-		"ROUTE":                func(h *History) { h.Ran[0].Service = serviceB },
-		"ROUTE moving":         func(h *History) { move(h, serviceB) },
-		"BUDGET of calls":      func(h *History) { pileUp(h, serviceB) },
-		"BUDGET of a service":  func(h *History) { pileUp(h, serviceA) },
-		"CONFIG refused":       func(h *History) { h.Orders[1].AfterAck = true },
-		"CONFIG both":          func(h *History) { h.Orders = append(h.Orders, Order{Version: 2, Base: 1, Acked: at(5)}) },
+	for name, corrupt := range map[string]func(h *History){
+		"MIXED unsigned":       func(h *History) { h.Sent[0].Valid, h.Sent[0].Signed = false, false },
+		"MIXED other status":   func(h *History) { h.Sent[0].Valid, h.Sent[0].Status = false, 500 },
+		"TWICE":                func(h *History) { h.Runs = append(h.Runs, h.Runs[0]) },
+		"REFUSED and ran":      func(h *History) { h.Sent[0].Status = 503; h.Sent[0].Valid, h.Sent[0].Signed = false, false },
+		"REFUSED runs later":   func(h *History) { h.Runs[0].At = at(15); h.Sent[0].Status = 504; h.Sent[0].Signed = false },
+		"UNASKED id":           func(h *History) { h.Runs = append(h.Runs, Exec{ID: "nobody's", Service: serviceA, Path: pathSafe}) },
+		"UNASKED body":         func(h *History) { h.Runs[0].Body = 8 },
+		"UNASKED path":         func(h *History) { h.Runs[0].Path = pathUnsafe + "other" },
+		"UNASKED origin":       func(h *History) { h.Runs[0].Origin = serviceB },
+		"ROUTE":                func(h *History) { h.Runs[0].Service = serviceB },
+		"ROUTE moving":         func(h *History) { misroute(h, serviceB) },
+		"BUDGET of calls":      func(h *History) { addRepeats(h, serviceB) },
+		"BUDGET of a service":  func(h *History) { addRepeats(h, serviceA) },
+		"CONFIG refused":       func(h *History) { h.Changes[1].RefusedAfterAck = true },
+		"CONFIG both":          func(h *History) { h.Changes = append(h.Changes, ConfigChange{Version: 2, Base: 1, Acked: at(5)}) },
 		"CONFIG old read":      func(h *History) { h.Reads[1].Version = 1 },
-		"CONFIG read at once":  func(h *History) { h.Reads[0] = Read{At: at(5.2), Source: "t", Version: 1} },
+		"CONFIG read at once":  func(h *History) { h.Reads[0] = ConfigRead{At: at(5.2), Source: "t", Version: 1} },
 		"LOST configuration":   func(h *History) { h.Reads[1].At, h.Reads[2].At = at(19), at(19) },
 		"LOST at one source":   func(h *History) { h.Reads[2].Source = "s" },
-		"LOST request":         func(h *History) { lose(h) },
-		"DRAIN":                func(h *History) { h.Drains = []Drained{{Boot: "s-1", At: at(8)}} },
-		"BUDGET":               func(h *History) { flood(h) },
+		"LOST request":         func(h *History) { loseRequest(h) },
+		"DRAIN":                func(h *History) { h.Drains = []AckedDrain{{Boot: "s-1", At: at(8)}} },
+		"BUDGET":               func(h *History) { repeatExecutions(h) },
 		"RECOVER":              func(h *History) { h.Sent[1].Status = 504; h.Sent[1].Signed = false },
-		"EXIT ended by itself": func(h *History) { h.Faults = []Fault{{Kind: endedByItself, Target: "d", At: at(3)}} },
+		"EXIT ended by itself": func(h *History) { h.Faults = []Fault{{Kind: unexpectedExit, Target: "d", At: at(3)}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			h := sound()
-			plant(h)
-			broken := check(h).Broken
+			h := validHistory()
+			corrupt(h)
+			broken := check(h).Violations
 			c.Assert(len(broken) > 0, qt.IsTrue)
 			c.Check(strings.HasPrefix(broken[0], strings.Fields(name)[0]), qt.IsTrue, qt.Commentf("%v", broken))
 		})
 	}
 }
 
-// move has a run on the moving route at a service that no configuration named.
-func move(h *History, service string) {
-	h.Sent[0].Path, h.Ran[0].Path, h.Ran[0].Service = pathMoving+"a", pathMoving+"a", service
+// misroute executes a request of the moving route at a service that no configuration names.
+func misroute(h *History, service string) {
+	h.Sent[0].Path, h.Runs[0].Path, h.Runs[0].Service = pathMoving+"a", pathMoving+"a", service
 }
 
-// lose cuts a request around a planned stop of its daemon.
-func lose(h *History) {
-	h.Calm = at(30)
-	h.Sent[0].Status, h.Sent[0].Sound, h.Sent[0].Signed = 0, false, false
+// loseRequest drops the answer of a request during a planned stop of its daemon.
+func loseRequest(h *History) {
+	h.SteadyFrom = at(30)
+	h.Sent[0].Status, h.Sent[0].Valid, h.Sent[0].Signed = 0, false, false
 	h.Faults = []Fault{{Kind: "planned stop", Target: "d", At: at(10), Until: at(12), Planned: true}}
-	h.Sent = append(h.Sent, Sent{ID: "c", Daemon: "d", At: at(31), Status: 200, Sound: true, Signed: true, Kind: "safe"})
+	h.Sent = append(h.Sent, SentRequest{ID: "c", Daemon: "d", At: at(31), Status: 200, Valid: true, Signed: true, Kind: "safe"})
 }
 
-// flood sends a safe request to servers again and again.
-func flood(h *History) {
-	s := Sent{ID: "f", Daemon: "d", Method: "GET", Path: pathSafe + "f", Kind: "safe", At: at(11), Ended: at(12), Status: 200, Sound: true, Signed: true}
+// repeatExecutions executes one safe request 100 times.
+func repeatExecutions(h *History) {
+	s := SentRequest{ID: "f", Daemon: "d", Method: "GET", Path: pathSafe + "f", Kind: "safe", At: at(11), Ended: at(12), Status: 200, Valid: true, Signed: true}
 	h.Sent = append(h.Sent, s)
 	for range 100 {
-		h.Ran = append(h.Ran, Ran{ID: "f", Boot: "s-1", Service: serviceA, Method: "GET", Path: s.Path, Origin: serviceA, At: at(11.5)})
+		h.Runs = append(h.Runs, Exec{ID: "f", Boot: "s-1", Service: serviceA, Method: "GET", Path: s.Path, Origin: serviceA, At: at(11.5)})
 	}
 }
 
-// pileUp adds requests whose arrivals all count as repeats.
-func pileUp(h *History, service string) {
+// addRepeats adds requests whose arrivals all count as repeats.
+func addRepeats(h *History, service string) {
 	path := pathSafe
 	if service == serviceB {
 		path = pathCalled
 	}
 	for i := range 100 {
 		id := strconv.Itoa(i)
-		h.Sent = append(h.Sent, Sent{ID: id, Daemon: "d", Method: "GET", Path: path + id, Kind: "safe", At: at(12), Ended: at(12.1), Status: 200, Sound: true, Signed: true})
-		h.Arrived = append(h.Arrived, Arrival{ID: id, Service: service, At: at(12), Repeat: true})
+		h.Sent = append(h.Sent, SentRequest{ID: id, Daemon: "d", Method: "GET", Path: path + id, Kind: "safe", At: at(12), Ended: at(12.1), Status: 200, Valid: true, Signed: true})
+		h.Arrivals = append(h.Arrivals, Arrival{ID: id, Service: service, At: at(12), Repeat: true})
 	}
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -9,151 +9,152 @@
 	"time"
 )
 
-// The times between two faults, and of one.
+// The time between two faults and the duration of one.
 const (
-	pauseLeast, pauseMost = 200 * time.Millisecond, 1500 * time.Millisecond
-	faultLeast, faultMost = 300 * time.Millisecond, 3 * time.Second
-	graceTime             = 6 * time.Second
-	// catchUp is how long a source with an empty disk still counts as lost.
-	catchUp = 4 * time.Second
+	minPause, maxPause                 = 200 * time.Millisecond, 1500 * time.Millisecond
+	minFaultDuration, maxFaultDuration = 300 * time.Millisecond, 3 * time.Second
+	stopTimeout                        = 6 * time.Second
+	// catchUpTime is how long a source counts as unavailable after its disk was wiped.
+	catchUpTime = 4 * time.Second
 )
 
-// faults injects faults for a time, in series and overlapping.
-func (w *world) faults(ctx context.Context, length time.Duration) {
-	end := time.Now().Add(length)
+// injectFaults starts faults at random intervals for the given duration. Faults may overlap.
+func (cl *cluster) injectFaults(ctx context.Context, duration time.Duration) {
+	end := time.Now().Add(duration)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		w.sleep(ctx, pauseLeast+time.Duration(w.random.Int64N(int64(pauseMost-pauseLeast))))
-		w.one(faultLeast + time.Duration(w.random.Int64N(int64(faultMost-faultLeast))))
+		cl.sleep(ctx, minPause+time.Duration(cl.random.Int64N(int64(maxPause-minPause))))
+		cl.startRandomFault(minFaultDuration + time.Duration(cl.random.Int64N(int64(maxFaultDuration-minFaultDuration))))
 	}
 }
 
-// one begins one fault, drawn at random. What is drawn does not depend on time.
-func (w *world) one(length time.Duration) {
-	kind, target := w.random.IntN(12), w.random.IntN(1<<20)
-	d, s := w.daemons[target%len(w.daemons)], w.sources[target%len(w.sources)]
-	b := w.backends[target%len(w.backends)]
+// startRandomFault starts one random fault. The random choices do not depend on time, so
+// that a seed gives the same sequence.
+func (cl *cluster) startRandomFault(duration time.Duration) {
+	kind, target := cl.random.IntN(12), cl.random.IntN(1<<20)
+	d, s := cl.daemons[target%len(cl.daemons)], cl.sources[target%len(cl.sources)]
+	b := cl.backends[target%len(cl.backends)]
 	switch kind {
 	case 0:
-		w.killed(length/4, d)
+		cl.kill(duration/4, d)
 	case 1, 2:
-		w.planned(d)
+		cl.restart(d)
 	case 3:
-		w.frozen(length, d)
+		cl.freeze(duration, d)
 	case 4:
-		w.killed(length/4, s)
+		cl.kill(duration/4, s)
 	case 5:
-		w.frozen(length, s)
+		cl.freeze(duration, s)
 	case 6:
-		w.wipe(s)
+		cl.wipeDisk(s)
 	case 7:
-		if w.random.IntN(3) == 0 {
-			w.killed(length/4, w.daemons...)
+		if cl.random.IntN(3) == 0 {
+			cl.kill(duration/4, cl.daemons...)
 		} else {
-			w.killed(length/4, w.sources...)
+			cl.kill(duration/4, cl.sources...)
 		}
 	case 8:
-		w.network(length, b, mode(1+w.random.IntN(3)))
+		cl.disruptNetwork(duration, b, mode(1+cl.random.IntN(3)))
 	case 9:
-		w.during("reset", b.addr, 0, false, func() { b.proxy.resetAll() }, nil)
+		cl.runFault("reset", b.addr, 0, false, func() { b.proxy.resetAll() }, nil)
 	case 10:
-		w.during("server crash", b.addr, length, false, b.crash, func() { w.must(b.start()) })
+		cl.runFault("server crash", b.addr, duration, false, b.crash, func() { cl.must(b.start()) })
 	case 11:
-		w.during("server leaves", b.addr, 0, true, func() { b.leave(context.Background()); w.must(b.start()) }, nil)
+		cl.runFault("server leaves", b.addr, 0, true, func() { b.leave(context.Background()); cl.must(b.start()) }, nil)
 	}
 }
 
-// during runs a fault at a target that no other has: begin, and end after its
-// length.
-func (w *world) during(kind, target string, length time.Duration, planned bool, begin, end func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.busy[target] {
+// runFault runs a fault at a target that has no other fault: it calls begin and, after the
+// duration, end.
+func (cl *cluster) runFault(kind, target string, duration time.Duration, planned bool, begin, end func()) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.activeFaults[target] {
 		return
 	}
-	w.busy[target] = true
-	w.wait.Go(func() {
+	cl.activeFaults[target] = true
+	cl.wait.Go(func() {
 		at := time.Now()
 		begin()
 		if end != nil {
-			time.Sleep(length)
+			time.Sleep(duration)
 			end()
 		}
-		note(w.history, &w.history.Faults, Fault{Kind: kind, Target: target, At: at, Until: time.Now(), Planned: planned})
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.busy, target)
+		record(cl.history, &cl.history.Faults, Fault{Kind: kind, Target: target, At: at, Until: time.Now(), Planned: planned})
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		delete(cl.activeFaults, target)
 	})
 }
 
-// killed kills processes at one time; they are back after a while.
-func (w *world) killed(length time.Duration, list ...*process) {
+// kill kills processes at the same time and starts them again after the duration.
+func (cl *cluster) kill(duration time.Duration, list ...*process) {
 	for _, p := range list {
-		w.during("killed", p.name, length, false,
-			func() { p.signal(syscall.SIGKILL, false); <-p.ended }, func() { w.must(w.startProcess(p)) })
+		cl.runFault("killed", p.name, duration, false,
+			func() { p.signal(syscall.SIGKILL, false); <-p.exited }, func() { cl.must(cl.startProcess(p)) })
 	}
 }
 
-// planned stops a process as the platform does and starts it again.
-func (w *world) planned(p *process) {
-	w.during("planned stop", p.name, 0, true, func() {
+// restart stops a process with SIGTERM, as the platform does, and starts it again.
+func (cl *cluster) restart(p *process) {
+	cl.runFault("planned stop", p.name, 0, true, func() {
 		p.signal(syscall.SIGTERM, false)
-		p.gone(graceTime)
-		w.must(w.startProcess(p))
+		p.waitExit(stopTimeout)
+		cl.must(cl.startProcess(p))
 	}, nil)
 }
 
-func (w *world) frozen(length time.Duration, p *process) {
-	w.during("frozen", p.name, length, false,
+func (cl *cluster) freeze(duration time.Duration, p *process) {
+	cl.runFault("frozen", p.name, duration, false,
 		func() { p.signal(syscall.SIGSTOP, true) }, func() { p.signal(syscall.SIGCONT, true) })
 }
 
-// wipe takes the disk of a source, if no other is lost.
-func (w *world) wipe(p *process) {
-	w.mu.Lock()
-	free := time.Now().After(w.wiped)
-	for _, s := range w.sources {
-		free = free && !w.busy[s.name]
+// wipeDisk kills a source and deletes its data folder, unless another source has a fault.
+func (cl *cluster) wipeDisk(p *process) {
+	cl.mu.Lock()
+	free := time.Now().After(cl.wipeBlockedUntil)
+	for _, s := range cl.sources {
+		free = free && !cl.activeFaults[s.name]
 	}
 	if free {
-		w.wiped = time.Now().Add(catchUp)
+		cl.wipeBlockedUntil = time.Now().Add(catchUpTime)
 	}
-	w.mu.Unlock()
+	cl.mu.Unlock()
 	if !free {
 		return
 	}
-	w.during("disk lost", p.name, time.Second, false, func() {
+	cl.runFault("disk lost", p.name, time.Second, false, func() {
 		p.signal(syscall.SIGKILL, false)
-		<-p.ended
-		w.must(os.RemoveAll(filepath.Join(p.dir, "data")))
-	}, func() { w.must(w.startProcess(p)) })
+		<-p.exited
+		cl.must(os.RemoveAll(filepath.Join(p.dir, "data")))
+	}, func() { cl.must(cl.startProcess(p)) })
 }
 
-func (w *world) network(length time.Duration, b *backend, m mode) {
-	names := map[mode]string{delay: "delayed", silence: "silenced", oneWay: "cut one way"}
-	w.during(names[m], b.addr, length, false,
-		func() { b.proxy.mode.Store(int32(m)) }, func() { b.proxy.mode.Store(int32(pass)); b.proxy.resetAll() })
+func (cl *cluster) disruptNetwork(duration time.Duration, b *backend, m mode) {
+	names := map[mode]string{modeDelay: "delayed", modeSilence: "silenced", modeOneWay: "cut one way"}
+	cl.runFault(names[m], b.addr, duration, false,
+		func() { b.proxy.mode.Store(int32(m)) }, func() { b.proxy.mode.Store(int32(modePass)); b.proxy.resetAll() })
 }
 
-// heal waits for the faults under way and marks the begin of the calm.
-func (w *world) heal() {
+// awaitFaultEnds waits for the active faults to end and sets the start of the steady phase.
+func (cl *cluster) awaitFaultEnds() {
 	for {
-		w.mu.Lock()
-		n := len(w.busy)
-		w.mu.Unlock()
+		cl.mu.Lock()
+		n := len(cl.activeFaults)
+		cl.mu.Unlock()
 		if n == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.history.Calm = time.Now().Add(recovery - calm)
+	cl.history.SteadyFrom = time.Now().Add(recoveryTime - steadyTime)
 }
 
-// must ends the run where the soak itself fails: a fault that is not ended would
-// be blamed on the programs.
-func (w *world) must(err error) {
+// must exits if the soak itself fails: a fault that does not end would be counted against
+// the programs under test.
+func (cl *cluster) must(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
-		w.end()
+		cl.stop()
 		os.Exit(2)
 	}
 }
--- a/soak/foreign.go
+++ b/soak/foreign.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// foreignPause is the mean time between two reports of other writers, refusingFor how long
-// servers of one service refuse a part of their requests, and refusingPause the mean time
-// between two such times.
+// foreignReportPause is the mean time between two foreign reports, refusalDuration how long
+// the servers of one service refuse a share of their requests, and refusalPause the mean time
+// between two such phases.
 const (
-	foreignPause  = 700 * time.Millisecond
-	refusingFor   = 4 * time.Second
-	refusingPause = 5 * time.Second
+	foreignReportPause = 700 * time.Millisecond
+	refusalDuration    = 4 * time.Second
+	refusalPause       = 5 * time.Second
 )
 
-// startForeign sends reports that are not of the servers beside the daemons until ctx ends.
-func (w *world) startForeign(ctx context.Context) {
-	random := rand.New(rand.NewPCG(w.o.Seed, 11))
-	w.wait.Go(func() {
+// startForeignReports sends reports that do not come from the local backend servers until ctx
+// ends.
+func (cl *cluster) startForeignReports(ctx context.Context) {
+	random := rand.New(rand.NewPCG(cl.o.Seed, 11))
+	cl.wait.Go(func() {
 		for ctx.Err() == nil {
-			w.sleep(ctx, time.Duration(random.Int64N(int64(2*foreignPause))))
-			w.backends[random.IntN(len(w.backends))].foreign(ctx, random)
+			cl.sleep(ctx, time.Duration(random.Int64N(int64(2*foreignReportPause))))
+			cl.backends[random.IntN(len(cl.backends))].sendForeignReport(ctx, random)
 		}
 	})
 }
 
-// foreign sends the daemon beside the server a well-formed report of another writer: one of
-// its parts or more is not the server's, and the boot or the service never is.
-func (b *backend) foreign(ctx context.Context, random *rand.Rand) {
+// sendForeignReport sends the local daemon a well-formed report of another sender: at least
+// one of its parts differs from the server's, always the boot ID or the service.
+func (b *backend) sendForeignReport(ctx context.Context, random *rand.Rand) {
 	pick := func(values ...string) string { return values[random.IntN(len(values))] }
 	b.mu.Lock()
 	boot := b.boot
@@ -48,29 +49,29 @@
 	if random.IntN(2) == 0 {
 		report["born"] = slices.Max([]int64{1, time.Now().UnixMilli() + random.Int64N(8e12) - 4e12})
 	}
-	body, _ := json.Marshal(report) // plain values always encode
-	b.call(ctx, callReport+boot, body)
+	body, _ := json.Marshal(report) // cannot fail: the map holds only plain values
+	b.callDaemon(ctx, callReport+boot, body)
 }
 
-// startRefusing lets the servers of one service refuse a part of their requests now and then
-// until ctx ends.
-func (w *world) startRefusing(ctx context.Context) {
-	random := rand.New(rand.NewPCG(w.o.Seed, 13))
-	w.wait.Go(func() {
+// startRefusals makes the servers of one service refuse a share of their requests at random
+// times until ctx ends.
+func (cl *cluster) startRefusals(ctx context.Context) {
+	random := rand.New(rand.NewPCG(cl.o.Seed, 13))
+	cl.wait.Go(func() {
 		for ctx.Err() == nil {
-			w.sleep(ctx, time.Duration(random.Int64N(int64(2*refusingPause))))
+			cl.sleep(ctx, time.Duration(random.Int64N(int64(2*refusalPause))))
 			service := []string{serviceA, serviceB}[random.IntN(2)]
-			w.refuse(service, true)
-			w.sleep(ctx, refusingFor)
-			w.refuse(service, false)
+			cl.setRefusing(service, true)
+			cl.sleep(ctx, refusalDuration)
+			cl.setRefusing(service, false)
 		}
 	})
 }
 
-func (w *world) refuse(service string, refuses bool) {
-	for _, b := range w.backends {
+func (cl *cluster) setRefusing(service string, refusing bool) {
+	for _, b := range cl.backends {
 		if b.service == service {
-			b.refusing.Store(refuses)
+			b.refusing.Store(refusing)
 		}
 	}
 }
--- a/soak/history.go
+++ b/soak/history.go
@@ -5,107 +5,109 @@
 	"time"
 )
 
-// Sent is one request of a caller with what came of it.
-type Sent struct {
+// SentRequest is one request of a caller and its result.
+type SentRequest struct {
 	ID, Daemon, Method, Path, Kind string
 	Body                           uint64 // hash
 	At, Ended                      time.Time
-	// Status is 0 without an answer; Sound is set for an answer of the server's own,
-	// whole and to this request; Signed if it bears a server's signature.
+	// Status is 0 if no answer was received. Signed is set if the answer has a server's
+	// signature, Valid if that signature matches the complete answer to this request.
 	Status        int
-	Sound, Signed bool
-	// Unread is set if no connection was made.
-	Unread bool
+	Valid, Signed bool
+	// NotConnected is set if no connection was made.
+	NotConnected bool
 }
 
-// Arrival is one request at a backend server, run or refused.
+// Arrival is one request that arrived at a backend server, executed or refused.
 type Arrival struct {
 	ID, Service string
 	At          time.Time
-	// Repeat is set if it counts as one: the request came to a server before, or is a call
-	// of a run that was a repeat.
+	// Repeat is set if the request arrived at a server before, or is a call made by a
+	// repeated execution.
 	Repeat bool
 }
 
-// Ran is one arrival at a backend server that was run.
-type Ran struct {
+// Exec is one request executed by a backend server.
+type Exec struct {
 	ID, Boot, Service, Method, Path, Origin string
 	Body                                    uint64
 	At                                      time.Time
 }
 
-// Order is one change of an operator. Acked is zero without a clear answer.
-type Order struct {
+// ConfigChange is one configuration change of an operator. Acked is zero if no definite
+// answer was received.
+type ConfigChange struct {
 	Version, Base uint64
 	Moving        string
 	At, Acked     time.Time
-	// Refused is set on a clear refusal, AfterAck if it came to a resend of what had
-	// been acknowledged.
-	Refused, AfterAck bool
+	// Refused is set on a definite refusal, RefusedAfterAck if an acknowledged change was
+	// refused when it was sent again.
+	Refused, RefusedAfterAck bool
 }
 
-// Read is one answer to a read of the configuration.
-type Read struct {
-	// At is when the question was sent.
+// ConfigRead is one answer to a read of the configuration.
+type ConfigRead struct {
+	// At is when the request was sent.
 	At      time.Time
 	Source  string
 	Version uint64
 }
 
-// Fault is one fault of the schedule.
+// Fault is one injected fault.
 type Fault struct {
 	Kind, Target string
 	At, Until    time.Time
-	// Planned is set for a stop that was announced.
+	// Planned is set for a stop that the process was notified of.
 	Planned bool
 }
 
-// Drained is a server's leave that a daemon acknowledged.
-type Drained struct {
+// AckedDrain records that a daemon acknowledged the leave of a backend server.
+type AckedDrain struct {
 	Boot string
 	At   time.Time
 }
 
-// History is all that callers, servers and operators saw.
+// History records what callers, backend servers and operators observed.
 type History struct {
-	mu       sync.Mutex
-	Begin    time.Time
-	Calm     time.Time
-	End      time.Time
-	Sent     []Sent
-	Ran      []Ran
-	Arrived  []Arrival
-	Orders   []Order
-	Reads    []Read
-	Faults   []Fault
-	Drains   []Drained
-	Services map[string]string // by daemon: the service beside it
-	Sources  []string
-	// met are the requests that came to a server, inherited the calls of repeated runs.
-	met, inherited map[string]bool
+	mu         sync.Mutex
+	Begin      time.Time
+	SteadyFrom time.Time
+	End        time.Time
+	Sent       []SentRequest
+	Runs       []Exec
+	Arrivals   []Arrival
+	Changes    []ConfigChange
+	Reads      []ConfigRead
+	Faults     []Fault
+	Drains     []AckedDrain
+	Services   map[string]string // service of the local backend server, by daemon
+	Sources    []string
+	// seen holds the IDs of requests that arrived at a server, repeatCalls the IDs of calls
+	// made by repeated executions.
+	seen, repeatCalls map[string]bool
 }
 
-// arrive notes an arrival and reports whether it counts as a repeat.
-func (h *History) arrive(id, service string) bool {
+// recordArrival records an arrival and reports whether it counts as a repeat.
+func (h *History) recordArrival(id, service string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.met == nil {
-		h.met, h.inherited = map[string]bool{}, map[string]bool{}
+	if h.seen == nil {
+		h.seen, h.repeatCalls = map[string]bool{}, map[string]bool{}
 	}
-	repeat := h.met[id] || h.inherited[id]
-	h.met[id] = true
-	h.Arrived = append(h.Arrived, Arrival{ID: id, Service: service, At: time.Now(), Repeat: repeat})
+	repeat := h.seen[id] || h.repeatCalls[id]
+	h.seen[id] = true
+	h.Arrivals = append(h.Arrivals, Arrival{ID: id, Service: service, At: time.Now(), Repeat: repeat})
 	return repeat
 }
 
-// inherit notes that a request is a call of a repeated run.
-func (h *History) inherit(id string) {
+// markRepeatCall records that a request is a call made by a repeated execution.
+func (h *History) markRepeatCall(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.inherited[id] = true
+	h.repeatCalls[id] = true
 }
 
-func note[T any](h *History, list *[]T, item T) {
+func record[T any](h *History, list *[]T, item T) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	*list = append(*list, item)
--- a/soak/main.go
+++ b/soak/main.go
@@ -1,8 +1,8 @@
-// Command soak runs the real programs as processes on loopback, with the
-// platform's settings, and injects faults from outside: signals, emptied data
-// folders, and a proxy before each backend server that delays, resets, silences or
-// cuts one way. Callers, backend servers and operators of its own record what they
-// see; the platform's promises are checked against that record.
+// Command soak runs the real programs as processes on loopback addresses, with the settings
+// that the platform writes, and injects faults: signals, deleted data folders, and a proxy in
+// front of each backend server that delays, resets, silences or cuts connections in one
+// direction. Its own callers, backend servers and operators record what they observe, and the
+// record is checked against the platform's promises.
 package main
 
 import (
@@ -21,8 +21,8 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	root := &cobra.Command{Use: "soak", Short: "Randomised faults against the real programs", SilenceUsage: true}
-	root.AddCommand(command("run", "Run a seed"), command("replay", "Run a seed that was run before once more"))
+	root := &cobra.Command{Use: "soak", Short: "Run the real programs under random faults", SilenceUsage: true}
+	root.AddCommand(command("run", "Run a seed"), command("replay", "Run a seed again"))
 	if err := root.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
@@ -38,77 +38,77 @@
 				return err
 			}
 			fmt.Fprint(cmd.OutOrStdout(), report.Text())
-			if len(report.Broken) > 0 {
-				return errors.Newf("%d promises broken; logs and timeline are in %s", len(report.Broken), report.Dir)
+			if len(report.Violations) > 0 {
+				return errors.Newf("%d promises broken; logs and timeline are in %s", len(report.Violations), report.Dir)
 			}
 			return nil
 		},
 	}
-	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "chooses the faults, the requests and the changes")
-	cmd.Flags().DurationVar(&o.For, "for", 60*time.Second, "how long faults come; the recovery is added")
-	cmd.Flags().IntVar(&o.Daemons, "daemons", 6, "daemons with a backend server beside each")
-	cmd.Flags().StringVar(&o.Binary, "binary", "bin/daisygate", "the program under test")
-	cmd.Flags().StringVar(&o.Dir, "dir", "", "folder for logs and the timeline; empty makes a temporary one")
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed for the faults, the requests and the configuration changes")
+	cmd.Flags().DurationVar(&o.Duration, "for", 60*time.Second, "duration of the fault injection; the recovery time is added")
+	cmd.Flags().IntVar(&o.Daemons, "daemons", 6, "number of daemons, each with a local backend server")
+	cmd.Flags().StringVar(&o.Binary, "binary", "bin/daisygate", "path of the program under test")
+	cmd.Flags().StringVar(&o.Dir, "dir", "", "folder for logs and the timeline; empty creates a temporary folder")
 	return cmd
 }
 
-// Options are what a run depends on.
+// Options configure a run.
 type Options struct {
-	Seed    uint64
-	For     time.Duration
-	Daemons int
-	// Binary is the program under test; Dir receives logs and the report.
+	Seed     uint64
+	Duration time.Duration
+	Daemons  int
+	// Binary is the path of the program under test. Dir receives logs and the timeline.
 	Binary, Dir string
 }
 
 const (
-	sources = 3
-	// settleTime is for the fleet to be founded, recovery for it to be well again
-	// after the last fault.
-	settleTime = 20 * time.Second
-	recovery   = 8 * time.Second
-	// calm is the end of the recovery, in which nearly all has to be served.
-	calm = 3 * time.Second
+	sourceCount = 3
+	// startupTimeout bounds the start of the cluster. recoveryTime is the time that the cluster
+	// has to recover after the last fault.
+	startupTimeout = 20 * time.Second
+	recoveryTime   = 8 * time.Second
+	// steadyTime is the last part of the recovery, in which nearly all requests must succeed.
+	steadyTime = 3 * time.Second
 )
 
-// Run plays one seed.
+// Run runs the soak with one seed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.Dir == "" {
 		dir, err := os.MkdirTemp("", "soak-")
 		if err != nil {
-			return nil, errors.Wrap(err, "folder of the run")
+			return nil, errors.Wrap(err, "create folder for the run")
 		}
 		o.Dir = dir
 	}
 	binary, err := filepath.Abs(o.Binary)
 	if err != nil {
-		return nil, errors.Wrap(err, "program")
+		return nil, errors.Wrap(err, "resolve program path")
 	}
 	o.Binary = binary
-	w, err := newWorld(o)
+	cl, err := newCluster(o)
 	if err != nil {
 		return nil, err
 	}
-	defer w.end()
-	if err := w.begin(ctx); err != nil {
+	defer cl.stop()
+	if err := cl.start(ctx); err != nil {
 		return nil, err
 	}
 	load, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	w.startCallers(load)
-	w.startOperators(load)
-	foreign, stopForeign := context.WithCancel(ctx)
-	defer stopForeign()
-	w.startForeign(foreign)
-	w.startRefusing(foreign)
-	w.faults(ctx, o.For)
-	stopForeign()
-	w.heal()
-	w.sleep(ctx, recovery)
+	cl.startCallers(load)
+	cl.startOperators(load)
+	disturbance, stopDisturbance := context.WithCancel(ctx)
+	defer stopDisturbance()
+	cl.startForeignReports(disturbance)
+	cl.startRefusals(disturbance)
+	cl.injectFaults(ctx, o.Duration)
+	stopDisturbance()
+	cl.awaitFaultEnds()
+	cl.sleep(ctx, recoveryTime)
 	stopLoad()
-	w.wait.Wait()
-	w.readBack()
-	r := check(w.history)
+	cl.wait.Wait()
+	cl.readBack()
+	r := check(cl.history)
 	r.Seed, r.Dir = o.Seed, o.Dir
 	return r, r.writeTimeline(filepath.Join(o.Dir, "timeline.svg"))
 }
--- a/soak/operators.go
+++ b/soak/operators.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	orderPause = 600 * time.Millisecond
-	// orderTries is how often an order without a clear answer is sent again.
-	orderTries = 40
-	readBack   = 10 * time.Second
-	// controlTimeout bounds one call to a source.
-	controlTimeout = 2 * time.Second
+	changePause = 600 * time.Millisecond
+	// maxChangeAttempts bounds how often a change without a definite answer is sent.
+	maxChangeAttempts = 40
+	readBackTimeout   = 10 * time.Second
+	controlTimeout    = 2 * time.Second
 )
 
-// operators is what the operators share: the newest version acknowledged.
-type operators struct {
+// operatorState is the state shared by the operators: the newest version that was
+// acknowledged or read.
+type operatorState struct {
 	mu     sync.Mutex
 	newest uint64
 }
 
-// base is the version to build on.
-func (o *operators) base() uint64 {
+// latest returns the newest version, on which the next change is based.
+func (o *operatorState) latest() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.newest
 }
 
-// learned takes in a version that was acknowledged or read.
-func (o *operators) learned(version uint64) {
+// observe records a version that was acknowledged or read.
+func (o *operatorState) observe(version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.newest = max(o.newest, version)
@@ -44,44 +44,44 @@
 
 func versionText(v uint64) string { return "r" + strconv.FormatUint(v, 10) }
 
-// startOperators changes and reads the configuration until ctx ends: one operator
-// at a time, now and then two that build on the same version.
-func (w *world) startOperators(ctx context.Context) {
-	random := rand.New(rand.NewPCG(w.o.Seed, 99))
-	w.wait.Go(func() {
+// startOperators changes and reads the configuration until ctx ends. Usually one operator
+// makes a change; at random, two make a change based on the same version at the same time.
+func (cl *cluster) startOperators(ctx context.Context) {
+	random := rand.New(rand.NewPCG(cl.o.Seed, 99))
+	cl.wait.Go(func() {
 		for ctx.Err() == nil {
-			w.sleep(ctx, time.Duration(random.Int64N(int64(2*orderPause))))
-			base := w.operators.base()
+			cl.sleep(ctx, time.Duration(random.Int64N(int64(2*changePause))))
+			base := cl.operators.latest()
 			service := []string{serviceA, serviceB}[random.IntN(2)]
 			version := base + 1 + uint64(random.IntN(4))
 			var both sync.WaitGroup
-			both.Go(func() { w.order(ctx, version, base, service) })
+			both.Go(func() { cl.submitChange(ctx, version, base, service) })
 			if random.IntN(5) == 0 {
-				both.Go(func() { w.order(ctx, version+1, base, service) })
+				both.Go(func() { cl.submitChange(ctx, version+1, base, service) })
 			}
 			both.Wait()
-			w.learn(ctx, w.anySource())
+			cl.readConfiguration(ctx, cl.randomSource())
 		}
 	})
 }
 
-// order sends a change until it has a clear answer.
-func (w *world) order(ctx context.Context, version, base uint64, moving string) bool {
-	raw, _ := json.Marshal(configurationOf(version, moving)) // plain values always encode
-	o := Order{Version: version, Base: base, Moving: moving, At: time.Now()}
-	defer func() { note(w.history, &w.history.Orders, o) }()
-	for range orderTries {
-		switch status := w.replace(ctx, raw, base); {
+// submitChange sends a change until it gets a definite answer.
+func (cl *cluster) submitChange(ctx context.Context, version, base uint64, moving string) bool {
+	raw, _ := json.Marshal(configurationOf(version, moving)) // cannot fail: the value holds only plain values
+	o := ConfigChange{Version: version, Base: base, Moving: moving, At: time.Now()}
+	defer func() { record(cl.history, &cl.history.Changes, o) }()
+	for range maxChangeAttempts {
+		switch status := cl.sendChange(ctx, raw, base); {
 		case status == http.StatusOK && o.Acked.IsZero():
 			o.Acked = time.Now()
-			w.operators.learned(version)
+			cl.operators.observe(version)
 			if rand.IntN(4) > 0 {
 				return true
-			} // the others send what was acknowledged once more
+			} // in one case of four, send the acknowledged change again
 		case status == http.StatusOK:
 			return true
 		case status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests:
-			o.AfterAck = !o.Acked.IsZero() && w.operators.base() == version
+			o.RefusedAfterAck = !o.Acked.IsZero() && cl.operators.latest() == version
 			o.Refused = o.Acked.IsZero()
 			return false
 		}
@@ -93,22 +93,21 @@
 	return !o.Acked.IsZero()
 }
 
-func (w *world) replace(ctx context.Context, raw []byte, base uint64) int {
-	status, _ := w.control(ctx, w.anySource(), callReplace, raw, map[string]string{headerBase: versionText(base)})
+func (cl *cluster) sendChange(ctx context.Context, raw []byte, base uint64) int {
+	status, _ := cl.callSource(ctx, cl.randomSource(), callReplace, raw, map[string]string{headerBase: versionText(base)})
 	return status
 }
 
-// anySource is a source drawn at random.
-func (w *world) anySource() *process { return w.sources[rand.IntN(len(w.sources))] }
+func (cl *cluster) randomSource() *process { return cl.sources[rand.IntN(len(cl.sources))] }
 
-// control calls one source.
-func (w *world) control(ctx context.Context, at *process, call string, body []byte, header map[string]string) (int, []byte) {
+// callSource sends a control call to one source.
+func (cl *cluster) callSource(ctx context.Context, source *process, call string, body []byte, header map[string]string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return post(ctx, w.addr(at, portControl), call, body, header)
+	return post(ctx, cl.addr(source, portControl), call, body, header)
 }
 
-// post sends a call to a control address. Without a whole answer the status is 0.
+// post sends a control call to addr. The status is 0 without a complete answer.
 func post(ctx context.Context, addr, call string, body []byte, header map[string]string) (int, []byte) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+controlPath+call, bytes.NewReader(body))
 	if err != nil {
@@ -130,10 +129,10 @@
 	return resp.StatusCode, raw
 }
 
-// learn reads the configuration at a source and takes its version as the one to build on.
-func (w *world) learn(ctx context.Context, from *process) bool {
+// readConfiguration reads the configuration from a source and records its version.
+func (cl *cluster) readConfiguration(ctx context.Context, source *process) bool {
 	at := time.Now()
-	status, raw := w.control(ctx, from, callRead, nil, nil)
+	status, raw := cl.callSource(ctx, source, callRead, nil, nil)
 	var c configuration
 	if status != http.StatusOK || json.Unmarshal(raw, &c) != nil {
 		return false
@@ -142,17 +141,18 @@
 	if err != nil {
 		return false
 	}
-	note(w.history, &w.history.Reads, Read{At: at, Source: from.name, Version: version})
-	w.operators.learned(version)
+	record(cl.history, &cl.history.Reads, ConfigRead{At: at, Source: source.name, Version: version})
+	cl.operators.observe(version)
 	return true
 }
 
-// readBack reads the configuration at the end at each source, until it comes.
-func (w *world) readBack() {
-	w.history.End = time.Now()
-	end := time.Now().Add(readBack)
-	for _, s := range w.sources {
-		for !w.learn(context.Background(), s) && time.Now().Before(end) {
+// readBack reads the configuration from each source at the end, with retries until
+// readBackTimeout.
+func (cl *cluster) readBack() {
+	cl.history.End = time.Now()
+	end := time.Now().Add(readBackTimeout)
+	for _, s := range cl.sources {
+		for !cl.readConfiguration(context.Background(), s) && time.Now().Before(end) {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// mode is what a proxy does to what passes through it.
+// mode selects how a proxy impairs its connections.
 type mode int32
 
 const (
-	pass mode = iota
-	// delay holds each part up; silence lets nothing more through and closes
-	// nothing; oneWay lets only what goes to the server through.
-	delay
-	silence
-	oneWay
+	modePass mode = iota
+	// modeDelay delays each chunk. modeSilence discards data in both directions and keeps
+	// connections open. modeOneWay forwards only data sent to the server.
+	modeDelay
+	modeSilence
+	modeOneWay
 )
 
-// heldUp is how long a delayed part waits.
-const heldUp = 100 * time.Millisecond
+// delayTime is the delay of a chunk in modeDelay.
+const delayTime = 100 * time.Millisecond
 
-// proxy stands before a backend server.
+// proxy is a TCP proxy in front of a backend server.
 type proxy struct {
 	listener net.Listener
-	to       atomic.Pointer[string]
+	target   atomic.Pointer[string]
 	mode     atomic.Int32
 	mu       sync.Mutex
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 }
 
 func newProxy(addr string) (*proxy, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, open: map[net.Conn]bool{}}
+	p := &proxy{listener: l, conns: map[net.Conn]bool{}}
 	go p.serve()
 	return p, nil
 }
@@ -48,13 +48,13 @@
 		if err != nil {
 			return
 		}
-		go p.carry(conn)
+		go p.handle(conn)
 	}
 }
 
-func (p *proxy) carry(from net.Conn) {
-	defer p.drop(from)
-	to := p.to.Load()
+func (p *proxy) handle(from net.Conn) {
+	defer p.closeConn(from)
+	to := p.target.Load()
 	if to == nil {
 		reset(from)
 		return
@@ -64,9 +64,9 @@
 		reset(from)
 		return
 	}
-	defer p.drop(conn)
+	defer p.closeConn(conn)
 	p.mu.Lock()
-	p.open[from], p.open[conn] = true, true
+	p.conns[from], p.conns[conn] = true, true
 	p.mu.Unlock()
 	var wait sync.WaitGroup
 	wait.Go(func() { p.copy(conn, from, true) })
@@ -74,14 +74,14 @@
 	wait.Wait()
 }
 
-// copy carries one direction until it ends, and then ends the other.
+// copy forwards one direction until it ends and then closes both connections.
 func (p *proxy) copy(to, from net.Conn, toServer bool) {
 	defer func() { _, _ = to.Close(), from.Close() }()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.held(toServer) {
-			_, _ = io.Copy(io.Discard, from) // the connection stays silent until its end
+		if n > 0 && p.impair(toServer) {
+			_, _ = io.Copy(io.Discard, from) // keep the connection open without forwarding
 			return
 		}
 		if n > 0 {
@@ -95,31 +95,30 @@
 	}
 }
 
-// held waits as the mode asks, and reports whether the part is lost.
-func (p *proxy) held(toServer bool) bool {
+// impair delays a chunk if the mode says so and reports whether to discard it.
+func (p *proxy) impair(toServer bool) bool {
 	switch mode(p.mode.Load()) {
-	case delay:
-		time.Sleep(heldUp)
-	case silence:
+	case modeDelay:
+		time.Sleep(delayTime)
+	case modeSilence:
 		return true
-	case oneWay:
+	case modeOneWay:
 		return !toServer
 	}
 	return false
 }
 
-func (p *proxy) drop(conn net.Conn) {
+func (p *proxy) closeConn(conn net.Conn) {
 	p.mu.Lock()
-	delete(p.open, conn)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 	_ = conn.Close()
 }
 
-// resetAll resets every open connection.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for conn := range p.open {
+	for conn := range p.conns {
 		reset(conn)
 	}
 }
--- a/soak/wire.go
+++ b/soak/wire.go
@@ -1,6 +1,6 @@
 package main
 
-// The platform's names, as its page on the protocol has them.
+// The names of the platform's protocol.
 const (
 	headerID        = "Request-Id"
 	headerDeadline  = "Request-Deadline"
@@ -19,7 +19,7 @@
 	healthPath      = "/health"
 )
 
-// configuration is what operators send.
+// configuration is the configuration document that operators send.
 type configuration struct {
 	Version  string           `json:"version"`
 	Services []map[string]any `json:"services"`
@@ -47,16 +47,16 @@
 	host     = "soak.example"
 	serviceA = "alpha"
 	serviceB = "beta"
-	// pathCalled is the route that runs of service A call.
+	// pathCalled is the path of the route that service A calls while it executes a request.
 	pathCalled = "/called/"
-	// The paths of the routes; moving goes to one service or the other, by version.
+	// The path prefixes of the routes; the version decides which service pathMoving routes to.
 	pathSafe   = "/safe/"
 	pathUnsafe = "/unsafe/"
 	pathUpload = "/upload/"
 	pathMoving = "/moving/"
 )
 
-// configurationOf is the configuration of a version.
+// configurationOf returns the configuration of a version.
 func configurationOf(version uint64, moving string) configuration {
 	services := func(name string) map[string]any {
 		return map[string]any{"name": name, "health_check_path": healthPath, "connection_limit": 200, "protocol": "h1", "tls": false}
