--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the example manifests, so that the binary can show
-// them working without a checkout.
+// Package examples embeds an example manifest, so that the binary can run a demo without a
+// source checkout.
 package examples
 
 import _ "embed"
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,4 @@
-// Package examples holds the example manifests and settings to what daisygate
-// takes.
+// Package examples tests that daisygate accepts the example manifests and settings.
 package examples
 
 import (
@@ -29,8 +28,8 @@
 	}
 }
 
-// TestMeshesTogether holds that both meshes can be in force in one fleet, and
-// that breakdown crews' hose specifications have their own route and priority.
+// TestMeshesTogether checks that all example meshes can be in force in one fleet, and that the
+// hose specifications for breakdown crews have their own route, and with it their own priority.
 func TestMeshesTogether(t *testing.T) {
 	c := qt.New(t)
 	state := fleet.Empty()
@@ -62,9 +61,9 @@
 	c.Check(route, qt.IsNil)
 }
 
-// TestFleets holds that the settings of a fleet fit together: unique names and
-// addresses, three failure domains, three sources in different domains, and
-// seeds and members that name real instances.
+// TestFleets checks that the settings of each fleet are consistent: unique names and addresses,
+// three failure domains, three sources in different domains, and seeds and members that refer to
+// existing instances.
 func TestFleets(t *testing.T) {
 	c := qt.New(t)
 	for folder, size := range map[string]int{"ahnenbach": 10, "ramdin": 12} {
@@ -100,8 +99,8 @@
 	}
 }
 
-// TestAllKeys holds that settings/all-keys.yaml names every key and that the
-// defaults it documents are those of the code.
+// TestAllKeys checks that settings/all-keys.yaml contains every key and that the defaults it
+// documents match the code.
 func TestAllKeys(t *testing.T) {
 	c := qt.New(t)
 	raw, err := os.ReadFile("settings/all-keys.yaml")
