--- a/test/ci/knownred_test.go
+++ b/test/ci/knownred_test.go
@@ -1,4 +1,4 @@
-// Package ci holds the checks of the project's own scripts.
+// Package ci tests the scripts of the continuous integration.
 package ci
 
 import (
@@ -27,8 +27,8 @@
 }
 `
 
-// TestKnownRed runs the tests of a small module with the pattern of
-// .ci/known-red: exactly those listed are passed over.
+// TestKnownRed runs the tests of a small module with the skip pattern that .ci/known-red prints:
+// exactly the listed tests must be skipped.
 func TestKnownRed(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -45,10 +45,10 @@
 		{"TestB, its cause, 2\n", "TestB TestB/c TestB/c/deep TestB/cd TestB/cd/deep TestB/e.f(1) TestB/e.f(1)/deep TestB/exf(1) TestB/exf(1)/deep"},
 	} {
 		write(c, dir, "KNOWN-RED.txt", row.list)
-		c.Check(ran(c, dir, pattern(c, dir)), qt.DeepEquals, without(all, row.skipped), qt.Commentf("%q", row.list))
+		c.Check(passedTests(c, dir, skipPattern(c, dir)), qt.DeepEquals, without(all, row.skipped), qt.Commentf("%q", row.list))
 	}
 	c.Assert(os.Remove(filepath.Join(dir, "KNOWN-RED.txt")), qt.IsNil)
-	c.Assert(pattern(c, dir), qt.Equals, "")
+	c.Assert(skipPattern(c, dir), qt.Equals, "")
 	for _, row := range []struct{ list, fault string }{
 		{"TestA\n", `want "TestName, cause, issue"`},
 		{"TestA, , 3\n", `want "TestName, cause, issue"`},
@@ -66,35 +66,35 @@
 	c.Assert(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600), qt.IsNil)
 }
 
-func pattern(c *qt.C, dir string) string {
+func skipPattern(c *qt.C, dir string) string {
 	out, err := exec.Command("../../.ci/known-red", dir).Output()
 	c.Assert(err, qt.IsNil)
 	return string(out)
 }
 
-var passed = regexp.MustCompile(`--- PASS: (\S+)`)
+var passLine = regexp.MustCompile(`--- PASS: (\S+)`)
 
-func ran(c *qt.C, dir, skip string) []string {
+func passedTests(c *qt.C, dir, skip string) []string {
 	cmd := exec.Command("go", "test", "-v", "-skip", skip, ".")
 	cmd.Dir = dir
 	out, err := cmd.CombinedOutput()
 	c.Assert(err, qt.IsNil, qt.Commentf("%s", out))
 	var names []string
-	for _, m := range passed.FindAllStringSubmatch(string(out), -1) {
+	for _, m := range passLine.FindAllStringSubmatch(string(out), -1) {
 		names = append(names, m[1])
 	}
 	return names
 }
 
-// without is all names but those skipped, in order.
+// without returns all names except those skipped, in order.
 func without(all, skipped string) []string {
-	gone := map[string]bool{}
+	excluded := map[string]bool{}
 	for _, name := range strings.Fields(skipped) {
-		gone[name] = true
+		excluded[name] = true
 	}
 	var names []string
 	for _, name := range strings.Fields(all) {
-		if !gone[name] {
+		if !excluded[name] {
 			names = append(names, name)
 		}
 	}
--- a/test/e2e/call_test.go
+++ b/test/e2e/call_test.go
@@ -21,9 +21,9 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// callMesh is three nodes in three failure domains, a backend server of the
-// service archive beside each.
-func callMesh(c *qt.C) *cluster {
+// newCallCluster starts three nodes in three failure domains, each with a local backend
+// server of the service archive.
+func newCallCluster(c *qt.C) *cluster {
 	raw, err := os.ReadFile("../../examples/ahnenbach.yaml")
 	c.Assert(err, qt.IsNil)
 	cl := newCluster(c, 3)
@@ -33,39 +33,39 @@
 	path := cl.manifest("call.yaml", string(raw))
 	cl.eventually("manifest", func() error { return cl.apply(path, "0") })
 	for i, n := range cl.nodes {
-		cl.answersBeside(n, cl.backends[i])
+		cl.waitLocalAnswer(n, cl.backends[i])
 	}
 	return cl
 }
 
-// settled waits until a daemon answers calls.
-func (cl *cluster) settled(n *node) {
+// waitReady waits until a daemon answers requests.
+func (cl *cluster) waitReady(n *node) {
 	cl.eventually("readiness of "+n.name, func() error { return get(n, "/records/1", "", "archive\n") })
 }
 
-// answersBeside waits until a daemon answers calls from the backend server beside it.
-func (cl *cluster) answersBeside(n *node, beside *backend) {
-	cl.eventually("the server beside "+n.name, func() error {
+// waitLocalAnswer waits until a daemon answers requests from its local backend server.
+func (cl *cluster) waitLocalAnswer(n *node, local *backend) {
+	cl.eventually("answer of the local server of "+n.name, func() error {
 		resp, err := http.Get("http://" + n.caller + "/records/1")
 		if err != nil {
 			return err
 		}
 		defer func() { _ = resp.Body.Close() }()
-		if by := resp.Header.Get(standin.HeaderServer); by != beside.addr {
-			return errors.Newf("%s answered by %q, want %s", resp.Status, by, beside.addr)
+		if server := resp.Header.Get(standin.HeaderServer); server != local.addr {
+			return errors.Newf("%s answered by %q, want %s", resp.Status, server, local.addr)
 		}
 		return nil
 	})
 }
 
-// terminate asks a process to stop and waits until it has.
+// terminate sends SIGTERM to a process and waits until it exits.
 func (p *process) terminate(c *qt.C) {
 	c.Assert(p.cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	_ = p.cmd.Wait()
 }
 
-// sent is one request with the one answer that its caller got.
-type sent struct {
+// callResult is one request with the answer that its caller got.
+type callResult struct {
 	id      string
 	status  int
 	outcome result.Outcome
@@ -75,14 +75,14 @@
 
 var notReady = strconv.Itoa(int(result.NotReady))
 
-// sendCall makes one request at the first of the nodes that takes a connection
-// and has a version in force; it goes on after no other failure.
-func sendCall(client *http.Client, nodes []*node, method, path, id string, body io.Reader, header ...string) sent {
-	s := sent{id: id}
+// sendCall sends a request to the first node that accepts a connection and has a version in
+// force. It does not try the next node after any other failure.
+func sendCall(client *http.Client, nodes []*node, method, path, id string, body io.Reader, header ...string) callResult {
+	s := callResult{id: id}
 	for _, n := range nodes {
 		req, err := http.NewRequest(method, "http://"+n.caller+path, body)
 		if err != nil {
-			return sent{id: id, err: err}
+			return callResult{id: id, err: err}
 		}
 		req.Header.Set(standin.HeaderID, id)
 		for i := 0; i+1 < len(header); i += 2 {
@@ -108,12 +108,12 @@
 	return s
 }
 
-// storm sends non-repeatable requests at every node, from workers that each
-// keep a connection.
-func (cl *cluster) storm(workers int, delay string, stop <-chan struct{}) func() []sent {
+// startTransfers starts workers that send non-repeatable requests to every node, each on its
+// own client. The returned function waits for the workers and returns their results.
+func (cl *cluster) startTransfers(workers int, delay string, stop <-chan struct{}) func() []callResult {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var all []sent
+	var all []callResult
 	for worker := range workers {
 		nodes := append(append([]*node{}, cl.nodes[worker%3:]...), cl.nodes[:worker%3]...)
 		wait.Go(func() {
@@ -132,14 +132,14 @@
 			}
 		})
 	}
-	return func() []sent {
+	return func() []callResult {
 		wait.Wait()
 		return all
 	}
 }
 
-// survivorRuns sums the records of the backend servers that answer.
-func (cl *cluster) survivorRuns() map[string]int {
+// liveRuns sums the run counts of the backend servers that are still running.
+func (cl *cluster) liveRuns() map[string]int {
 	runs := map[string]int{}
 	for _, b := range cl.backends {
 		if b.process.cmd.ProcessState != nil {
@@ -152,14 +152,13 @@
 	return runs
 }
 
-// TestPlannedStops takes every backend server and every daemon through a
-// planned stop, one after another under load: no request is cut, lost or run
-// twice.
+// TestPlannedStops stops every backend server and every daemon as planned, one after another
+// under load. No request may be interrupted, lost or run twice.
 func TestPlannedStops(t *testing.T) {
 	c := qt.New(t)
-	cl := callMesh(c)
+	cl := newCallCluster(c)
 	stop := make(chan struct{})
-	wait := cl.storm(9, "2ms", stop)
+	wait := cl.startTransfers(9, "2ms", stop)
 	time.Sleep(300 * time.Millisecond)
 	runs := map[string]int{}
 	for i, n := range cl.nodes {
@@ -168,29 +167,29 @@
 		}
 		n.process.terminate(c)
 		cl.start(n)
-		cl.settled(n)
+		cl.waitReady(n)
 		cl.addBackend(n, "archive", "archive\n")
 		time.Sleep(500 * time.Millisecond)
 	}
 	close(stop)
 	all := wait()
-	for id, k := range cl.survivorRuns() {
+	for id, k := range cl.liveRuns() {
 		runs[id] += k
 	}
-	bad := 0
+	failures := 0
 	for _, s := range all {
 		if s.err != nil || s.outcome != result.Run || s.status != http.StatusOK || runs[s.id] != 1 {
-			bad++
+			failures++
 			c.Check(s, qt.IsNil, qt.Commentf("runs %d", runs[s.id]))
 		}
-		if bad > 5 {
+		if failures > 5 {
 			break
 		}
 	}
-	c.Logf("%d requests through the planned stop of 3 backend servers and 3 daemons, %d cut, lost or doubled", len(all), bad)
+	c.Logf("%d requests during the planned stop of 3 backend servers and 3 daemons, %d interrupted, lost or run twice", len(all), failures)
 }
 
-// drainAndCount stops a backend server and returns the record that it leaves.
+// drainAndCount stops a backend server and returns the run counts that it prints on exit.
 func (b *backend) drainAndCount(cl *cluster) map[string]int {
 	b.process.terminate(cl.c)
 	runs := map[string]int{}
@@ -202,14 +201,14 @@
 	return runs
 }
 
-// TestKilledInMidRequest kills a backend server, then a daemon, without
-// warning: what may not be repeated runs once at most, "not run" never ran, and
-// the fleet recovers.
+// TestKilledInMidRequest kills a backend server and then a daemon under load. A non-repeatable
+// request must run at most once, one answered "not run" must not have run, and the fleet must
+// recover.
 func TestKilledInMidRequest(t *testing.T) {
 	c := qt.New(t)
-	cl := callMesh(c)
+	cl := newCallCluster(c)
 	stop := make(chan struct{})
-	wait := cl.storm(12, "30ms", stop)
+	wait := cl.startTransfers(12, "30ms", stop)
 	time.Sleep(500 * time.Millisecond)
 	cl.backends[1].process.kill()
 	time.Sleep(500 * time.Millisecond)
@@ -219,7 +218,7 @@
 		cl.eventually("recovery", func() error { return get(n, "/records/1", "", "archive\n") })
 	}
 	close(stop)
-	runs := cl.survivorRuns()
+	runs := cl.liveRuns()
 	count := map[string]int{}
 	for _, s := range wait() {
 		label := fmt.Sprint(s.outcome)
@@ -232,35 +231,35 @@
 			c.Check(runs[s.id], qt.Equals, 0, qt.Commentf("%+v", s))
 		}
 	}
-	c.Logf("answers around kill -9 of a backend server and of a daemon: %v", count)
+	c.Logf("outcomes while a backend server and a daemon were killed with SIGKILL: %v", count)
 	c.Check(count["run"] > 0, qt.IsTrue)
 }
 
-// TestFrozenServer stops a backend server with SIGSTOP: repeatable and other
-// requests soon pass it by, and it is used again when it goes on.
+// TestFrozenServer stops a backend server with SIGSTOP. Requests must soon go to other servers,
+// and the server must be used again after SIGCONT.
 func TestFrozenServer(t *testing.T) {
 	c := qt.New(t)
-	cl := callMesh(c)
+	cl := newCallCluster(c)
 	b := cl.backends[0]
 	c.Assert(b.process.cmd.Process.Signal(syscall.SIGSTOP), qt.IsNil)
 	client := &http.Client{Transport: &http.Transport{}}
-	inRow := 0
-	cl.eventually("calls pass the frozen server by", func() error {
+	consecutive := 0
+	cl.eventually("requests avoid the frozen server", func() error {
 		if s := sendCall(client, cl.nodes[:1], "GET", "/records/1", "", nil); s.outcome != result.Run {
-			inRow = 0
+			consecutive = 0
 			return errors.Newf("%+v", s)
 		}
-		if inRow++; inRow < 50 {
-			return errors.New("not yet 50 in a row")
+		if consecutive++; consecutive < 50 {
+			return errors.New("fewer than 50 consecutive successes")
 		}
 		return nil
 	})
 	c.Assert(b.process.cmd.Process.Signal(syscall.SIGCONT), qt.IsNil)
 	before := b.runs(c)["again"]
-	cl.eventually("the server is used again", func() error {
+	cl.eventually("use of the resumed server", func() error {
 		sendCall(client, cl.nodes[:1], "GET", "/records/1", "again", nil)
 		if b.runs(c)["again"] == before {
-			return errors.New("not used")
+			return errors.New("server got no request")
 		}
 		return nil
 	})
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs the real binary: daemons and backend servers, each its own
-// process on loopback.
+// Package e2e tests the real binaries: daemons and backend servers run as separate processes on
+// loopback.
 package e2e
 
 import (
@@ -24,8 +24,8 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// patience bounds every wait for something that must happen; it is no measure.
-const patience = 60 * time.Second
+// eventTimeout bounds every wait for an expected event. It is not a performance requirement.
+const eventTimeout = 60 * time.Second
 
 var binaries struct{ daisygate, backend string }
 
@@ -46,13 +46,12 @@
 	os.Exit(code)
 }
 
-// process is one running process of the cluster.
 type process struct {
 	cmd *exec.Cmd
 	log *logBuffer
 }
 
-// logBuffer gathers what a process writes, to be read meanwhile.
+// logBuffer collects the output of a process and can be read while the process runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -65,7 +64,7 @@
 	return b.text.Write(p)
 }
 
-// String returns what was written so far.
+// String returns the output so far.
 func (b *logBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,7 +76,7 @@
 	_ = p.cmd.Wait()
 }
 
-// node is the addresses of one daemon.
+// node is one daemon with its addresses and data folder.
 type node struct {
 	name, domain                     string
 	caller, announce, peer, operator string
@@ -175,7 +174,7 @@
 	return b
 }
 
-// run runs the command line and returns its output and exit code.
+// run runs the daisygate command and returns its output and exit code.
 func (cl *cluster) run(args ...string) (string, int) {
 	out, err := exec.Command(binaries.daisygate, args...).CombinedOutput()
 	if err == nil {
@@ -187,7 +186,7 @@
 }
 
 func (cl *cluster) eventually(what string, f func() error) {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(eventTimeout)
 	for {
 		err := f()
 		if err == nil {
--- a/test/e2e/crash_test.go
+++ b/test/e2e/crash_test.go
@@ -16,8 +16,8 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// alive counts the backend servers that still listen.
-func (cl *cluster) alive() int {
+// liveBackends counts the backend servers that still accept connections.
+func (cl *cluster) liveBackends() int {
 	count := 0
 	for _, b := range cl.backends {
 		if conn, err := net.Dial("tcp", b.addr); err == nil {
@@ -28,27 +28,27 @@
 	return count
 }
 
-// TestCrashingRequestIsRefused sends a request that crashes every server, again
-// and again through every daemon, while innocents run; one that may not be
-// repeated, and one that the daemons themselves send again.
+// TestCrashingRequestIsRefused repeatedly sends a request that crashes every server, through
+// every daemon and under background load. The request must be quarantined after two crashes,
+// both when it is not repeatable and when the daemons themselves retry it.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	c := qt.New(t)
-	c.Run("once", func(c *qt.C) { crashAgain(c, http.MethodPost, "/transfers") })
-	c.Run("repeatable", func(c *qt.C) { crashAgain(c, http.MethodGet, "/records/crash") })
+	c.Run("once", func(c *qt.C) { testCrashingRequest(c, http.MethodPost, "/transfers") })
+	c.Run("repeatable", func(c *qt.C) { testCrashingRequest(c, http.MethodGet, "/records/crash") })
 }
 
-func crashAgain(c *qt.C, method, path string) {
-	cl := newArchive(c, 5, 0, 1, 2, 3, 4)
+func testCrashingRequest(c *qt.C, method, path string) {
+	cl := newArchiveCluster(c, 5, 0, 1, 2, 3, 4)
 	ctx := context.Background()
-	innocents := cl.startLoad("/records/")
-	slow := make(chan told, 8)
+	background := cl.startLoad("/records/")
+	slow := make(chan callResponse, 8)
 	for i := range cap(slow) {
 		go func() {
 			slow <- send(ctx, cl.nodes[i%5], http.MethodGet, fmt.Sprintf("/records/slow-%d", i), "", map[string]string{standin.HeaderDelay: "300ms"})
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
-	crash := func(n *node) told {
+	crash := func(n *node) callResponse {
 		return send(ctx, n, method, path, "transfer", map[string]string{standin.HeaderCrash: "1"})
 	}
 	first := crash(cl.nodes[0])
@@ -60,39 +60,39 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	for _, n := range cl.nodes {
-		cl.eventually("the refusal at "+n.name, func() error { return crash(n).must(result.Quarantined) })
+		cl.eventually("refusal at "+n.name, func() error { return crash(n).must(result.Quarantined) })
 	}
-	dead := len(cl.backends) - cl.alive()
-	c.Logf("%d backend servers crashed", dead)
-	c.Assert(dead, qt.Equals, 2)
+	crashed := len(cl.backends) - cl.liveBackends()
+	c.Logf("%d backend servers crashed", crashed)
+	c.Assert(crashed, qt.Equals, 2)
 	refused := crash(cl.nodes[4])
 	c.Assert(refused.outcome, qt.Equals, "not-run")
 	c.Assert(refused.retryAfter, qt.Not(qt.Equals), "")
 	for range cap(slow) {
 		c.Assert((<-slow).is(result.Quarantined), qt.IsFalse)
 	}
-	sent := innocents.stop()
-	for _, err := range innocents.errors {
+	sent := background.stop()
+	for _, err := range background.errors {
 		c.Assert(strings.Contains(err.Error(), "Quarantined"), qt.IsFalse, qt.Commentf("%v", err))
 	}
-	c.Logf("%d innocents beside it, %d without an answer: %v", len(sent), len(innocents.errors), innocents.errors)
+	c.Logf("%d background requests, %d without an answer: %v", len(sent), len(background.errors), background.errors)
 	for i := range cap(slow) {
-		cl.eventually("an innocent's resend", func() error {
+		cl.eventually("resend of a slow request", func() error {
 			return get(cl.nodes[i%5], fmt.Sprintf("/records/slow-%d", i), "", "")
 		})
 	}
-	c.Assert(len(cl.backends)-cl.alive(), qt.Equals, 2)
+	c.Assert(len(cl.backends)-cl.liveBackends(), qt.Equals, 2)
 }
 
-// TestOrdinaryCrashBlamesNobody kills a server with requests in progress: all
-// are answered, and so are their resends.
+// TestOrdinaryCrashBlamesNobody kills a server with requests in progress. None of these
+// requests may be quarantined, and their resends must succeed.
 func TestOrdinaryCrashBlamesNobody(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 3, 0, 1, 2)
+	cl := newArchiveCluster(c, 3, 0, 1, 2)
 	ctx := context.Background()
 	slow := map[string]string{standin.HeaderDelay: "300ms"}
 	path := func(i int) string { return fmt.Sprintf("/records/slow-%d", i) }
-	results := make(chan told, 6)
+	results := make(chan callResponse, 6)
 	for i := range cap(results) {
 		go func() { results <- send(ctx, cl.nodes[0], http.MethodGet, path(i), "", slow) }()
 	}
@@ -118,26 +118,26 @@
 	}
 }
 
-// TestRackFailureBlamesNobody kills two servers at one time with identical
-// requests in progress, and then the one on which the daemons send them again:
-// they are no culprits.
+// TestRackFailureBlamesNobody kills two servers at the same time with identical requests in
+// progress, and then the server on which the daemons retry them. The requests must not be
+// quarantined.
 func TestRackFailureBlamesNobody(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 5, 0, 1, 2, 3, 4)
+	cl := newArchiveCluster(c, 5, 0, 1, 2, 3, 4)
 	for i, n := range cl.nodes {
-		cl.answersBeside(n, cl.backends[i])
+		cl.waitLocalAnswer(n, cl.backends[i])
 	}
 	ctx := context.Background()
 	slow := map[string]string{standin.HeaderDelay: "1s", standin.HeaderID: "rack"}
-	get := func(n *node) told { return send(ctx, n, http.MethodGet, "/records/1", "", slow) }
-	results := make(chan told, 20)
+	get := func(n *node) callResponse { return send(ctx, n, http.MethodGet, "/records/1", "", slow) }
+	results := make(chan callResponse, 20)
 	for i := range cap(results) {
 		go func() { results <- get(cl.nodes[i%5]) }()
 	}
 	running := func(b *backend) int { return b.runs(c)["rack"] }
-	cl.eventually("all to run", func() error {
+	cl.eventually("start of all requests", func() error {
 		if n := cl.runsOf("rack"); n < cap(results) {
-			return errors.Newf("%d run", n)
+			return errors.Newf("%d running", n)
 		}
 		return nil
 	})
@@ -162,7 +162,7 @@
 	for range cap(results) {
 		<-results
 	}
-	time.Sleep(5 * time.Second) // all crashes are known by then, and a refusal lasts a minute
+	time.Sleep(5 * time.Second) // every daemon knows of the crashes by now, and a quarantine would last a minute
 	for _, n := range cl.nodes {
 		cl.eventually("the resend at "+n.name, func() error {
 			again := get(n)
--- a/test/e2e/hangup_test.go
+++ b/test/e2e/hangup_test.go
@@ -10,11 +10,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestHangupCutsNothing sends SIGHUP to daemons that carry calls: the settings
-// are read again, faulty ones change nothing, and no call is cut.
+// TestHangupCutsNothing sends SIGHUP to daemons under load. They must reload their settings,
+// keep the old ones if the file is invalid, and interrupt no request.
 func TestHangupCutsNothing(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 3, 0, 1)
+	cl := newArchiveCluster(c, 3, 0, 1)
 	load := cl.startLoad("/records/")
 	logged := func(n *node, text string) {
 		cl.eventually("the log line "+text, func() error {
--- a/test/e2e/once_test.go
+++ b/test/e2e/once_test.go
@@ -18,21 +18,21 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// told is what a caller was told.
-type told struct {
+// callResponse is the response that a caller got.
+type callResponse struct {
 	code, outcome, body, retryAfter string
 	took                            time.Duration
 	err                             error
 }
 
-// transfer sends a plot transfer, which may not be repeated.
-func transfer(ctx context.Context, n *node, key string, header map[string]string) told {
-	return send(ctx, n, http.MethodPost, "/transfers", "transfer "+key, merged(header, map[string]string{
+// transfer sends a plot transfer, a non-repeatable request with an idempotency key.
+func transfer(ctx context.Context, n *node, key string, header map[string]string) callResponse {
+	return send(ctx, n, http.MethodPost, "/transfers", "transfer "+key, mergeHeaders(header, map[string]string{
 		"Idempotency-Key": key, standin.HeaderID: key,
 	}))
 }
 
-func merged(a, b map[string]string) map[string]string {
+func mergeHeaders(a, b map[string]string) map[string]string {
 	all := map[string]string{}
 	for _, m := range []map[string]string{a, b} {
 		for k, v := range m {
@@ -42,44 +42,45 @@
 	return all
 }
 
-func send(ctx context.Context, n *node, method, path, body string, header map[string]string) told {
+func send(ctx context.Context, n *node, method, path, body string, header map[string]string) callResponse {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+n.caller+path, strings.NewReader(body))
 	if err != nil {
-		return told{err: err}
+		return callResponse{err: err}
 	}
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return told{err: err, took: time.Since(start)}
+		return callResponse{err: err, took: time.Since(start)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
-	return told{
+	return callResponse{
 		code: resp.Header.Get(result.HeaderResult), outcome: resp.Header.Get(result.HeaderOutcome),
 		body: string(raw), retryAfter: resp.Header.Get("Retry-After"), took: time.Since(start), err: err,
 	}
 }
 
-func (t told) is(c result.Code) bool { return t.err == nil && t.code == fmt.Sprint(int(c)) }
+func (t callResponse) is(c result.Code) bool { return t.err == nil && t.code == fmt.Sprint(int(c)) }
 
-// must returns an error unless the caller was told c.
-func (t told) must(c result.Code) error {
+// must returns an error unless the response has the code c.
+func (t callResponse) must(c result.Code) error {
 	if !t.is(c) {
-		return errors.Newf("want %s, was told %+v", c, t)
+		return errors.Newf("want %s, got %+v", c, t)
 	}
 	return nil
 }
 
-// newArchive starts a fleet with the example manifest in force.
-func newArchive(c *qt.C, size int, backends ...int) *cluster {
+// newArchiveCluster starts a fleet with the example manifest in force and a backend server of
+// the service archive at each of the given nodes.
+func newArchiveCluster(c *qt.C, size int, backends ...int) *cluster {
 	raw, err := os.ReadFile("../../examples/ahnenbach.yaml")
 	c.Assert(err, qt.IsNil)
 	cl := newCluster(c, size)
-	for _, place := range backends {
-		cl.addBackend(cl.nodes[place], "archive", "archive\n")
+	for _, index := range backends {
+		cl.addBackend(cl.nodes[index], "archive", "archive\n")
 	}
 	first := cl.manifest("first.yaml", string(raw))
 	cl.eventually("first manifest", func() error { return cl.apply(first, "30") })
@@ -89,7 +90,7 @@
 	return cl
 }
 
-// runsOf is how often a request ran on all backend servers together.
+// runsOf returns how often a request ran on all backend servers together.
 func (cl *cluster) runsOf(id string) int {
 	sum := 0
 	for _, b := range cl.backends {
@@ -98,13 +99,14 @@
 	return sum
 }
 
-// TestResendGetsFirstAnswer resends through other daemons, at once and after.
+// TestResendGetsFirstAnswer sends a request again through other daemons, both while it runs and
+// afterwards. It must run once, and every resend must get the first answer.
 func TestResendGetsFirstAnswer(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 4, 0, 1)
+	cl := newArchiveCluster(c, 4, 0, 1)
 	ctx := context.Background()
 	slow := map[string]string{standin.HeaderDelay: "500ms"}
-	results := make(chan told, 2)
+	results := make(chan callResponse, 2)
 	for _, n := range []*node{cl.nodes[3], cl.nodes[1]} {
 		go func() { results <- transfer(ctx, n, "race", slow) }()
 	}
@@ -113,7 +115,7 @@
 	c.Assert(a.retryAfter, qt.Equals, "1")
 	c.Assert(b.must(result.OK), qt.IsNil)
 	for _, n := range cl.nodes {
-		cl.eventually("the first answer at "+n.name, func() error {
+		cl.eventually("first answer at "+n.name, func() error {
 			again := transfer(ctx, n, "race", slow)
 			if err := again.must(result.OK); err != nil {
 				return err
@@ -126,59 +128,60 @@
 	c.Assert(other.must(result.KeyReused), qt.IsNil)
 	c.Assert(cl.runsOf("race"), qt.Equals, 1)
 
-	// The caller leaves before the answer: the resend gets it.
+	// If the caller disconnects before the answer, a resend gets the answer.
 	short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	c.Assert(transfer(short, cl.nodes[3], "left", slow).err, qt.IsNotNil)
-	cl.eventually("the answer that was lost", func() error { return transfer(ctx, cl.nodes[2], "left", slow).must(result.OK) })
+	cl.eventually("answer for the disconnected caller", func() error { return transfer(ctx, cl.nodes[2], "left", slow).must(result.OK) })
 	c.Assert(cl.runsOf("left"), qt.Equals, 1)
 
-	// A planned stop right after the answer leaves it to the others.
+	// The answer stays available to the other daemons after a planned stop of the first one.
 	c.Assert(transfer(ctx, cl.nodes[3], "stop", nil).must(result.OK), qt.IsNil)
 	cl.nodes[3].process.terminate(c)
 	c.Assert(transfer(ctx, cl.nodes[2], "stop", nil).must(result.OK), qt.IsNil)
 	c.Assert(cl.runsOf("stop"), qt.Equals, 1)
 }
 
-// TestResendAfterDeathOfFirstDaemon kills the daemon that took the request in
-// while it runs.
+// TestResendAfterDeathOfFirstDaemon kills the daemon that accepted a request while the request
+// runs. Resends must get OwnerLost, and the request must not run again.
 func TestResendAfterDeathOfFirstDaemon(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 4, 0, 1)
+	cl := newArchiveCluster(c, 4, 0, 1)
 	ctx := context.Background()
 	first := cl.nodes[3]
-	lost := make(chan told)
+	lost := make(chan callResponse)
 	go func() { lost <- transfer(ctx, first, "owner", map[string]string{standin.HeaderDelay: "2s"}) }()
-	cl.eventually("the run", func() error {
+	cl.eventually("start of the request", func() error {
 		if cl.runsOf("owner") == 0 {
-			return errors.New("not begun")
+			return errors.New("not started")
 		}
 		return nil
 	})
 	first.process.kill()
 	c.Assert((<-lost).err, qt.IsNotNil)
-	cl.eventually("the loss to be known", func() error {
+	cl.eventually("detection of the lost daemon", func() error {
 		again := transfer(ctx, cl.nodes[0], "owner", map[string]string{standin.HeaderDelay: "2s"})
 		if again.is(result.InProgress) {
-			return errors.New("still thought to run")
+			return errors.New("still reported as in progress")
 		}
 		c.Assert(again.must(result.OwnerLost), qt.IsNil)
 		c.Assert(again.outcome, qt.Equals, "unknown")
 		return nil
 	})
 	cl.start(first)
-	cl.eventually("the first daemon's return", func() error { return get(first, "/records/1", "", "archive\n") })
+	cl.eventually("return of the first daemon", func() error { return get(first, "/records/1", "", "archive\n") })
 	c.Assert(transfer(ctx, first, "owner", map[string]string{standin.HeaderDelay: "2s"}).must(result.OwnerLost), qt.IsNil)
 	c.Assert(cl.runsOf("owner"), qt.Equals, 1)
 }
 
-// TestResendDuringSourceOutage kills two of three sources, then all.
+// TestResendDuringSourceOutage kills two of three sources and then the third. New keyed requests
+// must be refused without a run, and stored answers must be available after the outage.
 func TestResendDuringSourceOutage(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 5, 3, 4)
+	cl := newArchiveCluster(c, 5, 3, 4)
 	ctx := context.Background()
 	c.Assert(transfer(ctx, cl.nodes[3], "before", nil).must(result.OK), qt.IsNil)
-	time.Sleep(500 * time.Millisecond) // the third source learns of the commit
+	time.Sleep(500 * time.Millisecond) // let the third source learn of the commit
 	cl.nodes[0].process.kill()
 	cl.nodes[1].process.kill()
 	for i := range 10 {
@@ -195,7 +198,7 @@
 	cl.nodes[2].process.kill()
 	lost := transfer(ctx, cl.nodes[4], "before", nil)
 	c.Assert(lost.must(result.ClaimsUnavailable), qt.IsNil)
-	c.Assert(lost.outcome, qt.Equals, "unknown", qt.Commentf("it ran before the outage"))
+	c.Assert(lost.outcome, qt.Equals, "unknown", qt.Commentf("the request ran before the outage"))
 	c.Assert(get(cl.nodes[4], "/records/2", "", "archive\n"), qt.IsNil)
 	for i := range 3 {
 		c.Assert(cl.runsOf(fmt.Sprintf("outage-%d", i)), qt.Equals, 0)
@@ -213,16 +216,16 @@
 	c.Assert(cl.runsOf("before"), qt.Equals, 1)
 }
 
-// TestKeyedLoadOverKills kills and restarts the sources and a daemon that takes
-// requests in, one after another, under keyed requests that their callers send
-// again through any daemon until they know the end.
+// TestKeyedLoadOverKills kills and restarts the sources and an ingress daemon one after another
+// under keyed requests. Callers resend through any daemon until they get a final response. No
+// request may run twice.
 func TestKeyedLoadOverKills(t *testing.T) {
 	c := qt.New(t)
-	cl := newArchive(c, 5, 3, 4)
+	cl := newArchiveCluster(c, 5, 3, 4)
 	done := make(chan struct{})
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	ends, others := map[string]told{}, map[string]int{}
+	finalResponses, otherCodes := map[string]callResponse{}, map[string]int{}
 	var slowest time.Duration
 	for worker := range 8 {
 		wait.Go(func() {
@@ -238,13 +241,13 @@
 					r := transfer(context.Background(), cl.nodes[3+n%2], key, nil)
 					if r.outcome == "run" || r.is(result.OwnerLost) || r.is(result.AnswerLost) {
 						mu.Lock()
-						ends[key] = r
+						finalResponses[key] = r
 						slowest = max(slowest, time.Since(begin))
 						mu.Unlock()
 						break
 					}
 					mu.Lock()
-					others[r.code]++
+					otherCodes[r.code]++
 					mu.Unlock()
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -267,14 +270,14 @@
 		}
 	}
 	unknown := 0
-	for key, end := range ends {
+	for key, final := range finalResponses {
 		c.Check(runs[key] <= 1, qt.IsTrue, qt.Commentf("%s ran %d times", key, runs[key]))
-		if end.outcome != "run" {
+		if final.outcome != "run" {
 			unknown++
 			continue
 		}
-		c.Check(runs[key], qt.Equals, 1, qt.Commentf("%s: %+v", key, end))
-		c.Check(end.body, qt.Equals, "transfer "+key)
+		c.Check(runs[key], qt.Equals, 1, qt.Commentf("%s: %+v", key, final))
+		c.Check(final.body, qt.Equals, "transfer "+key)
 	}
-	c.Logf("%d keys, %d of them unknown in the end; slowest to its end %s; other answers by code %v", len(ends), unknown, slowest, others)
+	c.Logf("%d keys, %d with unknown outcome; slowest final response after %s; other responses by code %v", len(finalResponses), unknown, slowest, otherCodes)
 }
--- a/test/e2e/path_test.go
+++ b/test/e2e/path_test.go
@@ -17,8 +17,8 @@
 	"github.com/daisygate/daisygate/internal/standin"
 )
 
-// TestWholePath takes one manifest from the operator to the callers through
-// three sources, and moves a route while requests run.
+// TestWholePath applies a manifest through three sources until all daemons serve it, and moves a
+// route to another service under load.
 func TestWholePath(t *testing.T) {
 	c := qt.New(t)
 	raw, err := os.ReadFile("../../examples/ahnenbach.yaml")
@@ -30,12 +30,12 @@
 	cl.addBackend(cl.nodes[2], "tree", "tree\n")
 	first := cl.manifest("first.yaml", string(raw))
 	cl.eventually("first manifest", func() error { return cl.apply(first, "0") })
-	c.Logf("first manifest accepted %s after the start of everything", time.Since(begin))
+	c.Logf("first manifest accepted %s after the start of the processes", time.Since(begin))
 	for _, n := range cl.nodes {
 		cl.eventually("readiness of "+n.name, func() error { return get(n, "/records/1", "", "archive\n") })
 		cl.eventually("tree at "+n.name, func() error { return get(n, "/tree/1", "", "tree\n") })
 	}
-	c.Logf("answered at every daemon %s after the start", time.Since(begin))
+	c.Logf("every daemon answered %s after the start", time.Since(begin))
 	before := cl.controlBytes()
 	load := cl.startLoad("/records/")
 	time.Sleep(300 * time.Millisecond)
@@ -44,8 +44,8 @@
 	at := time.Now()
 	out, code := cl.run("apply", "-f", cl.manifest("second.yaml", moved), "--operator", cl.nodes[0].operator, "--wait", "30s")
 	c.Assert(code, qt.Equals, 0, qt.Commentf("%s", out))
-	c.Logf("second manifest in force everywhere after %s (with the command's own start)\n%s", time.Since(at), out)
-	c.Logf("control bytes of the fleet for it, with heartbeats meanwhile: %d", cl.controlBytes()-before)
+	c.Logf("second manifest in force everywhere after %s (including the start of the command)\n%s", time.Since(at), out)
+	c.Logf("control bytes of the fleet for the second manifest, including heartbeats: %d", cl.controlBytes()-before)
 	for _, n := range cl.nodes {
 		c.Assert(get(n, "/records/1", "", "tree\n"), qt.IsNil)
 	}
@@ -53,7 +53,7 @@
 	sent := load.stop()
 	c.Assert(load.errors, qt.HasLen, 0)
 	cl.assertRunOnce(sent)
-	c.Logf("%d requests during the move, none lost, none doubled", len(sent))
+	c.Logf("%d requests during the move, none lost, none run twice", len(sent))
 }
 
 func (cl *cluster) apply(path, wait string) error {
@@ -98,7 +98,7 @@
 	return sum
 }
 
-// load sends requests to every daemon until it is stopped.
+// load sends requests to every daemon until stop is called.
 type load struct {
 	done   chan struct{}
 	wait   sync.WaitGroup
--- a/test/e2e/ports_test.go
+++ b/test/e2e/ports_test.go
@@ -9,10 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Ports for processes that are started after the port was chosen, and again
-// after they were killed. They lie below the range from which the system takes
-// ports for outgoing connections (32768 and up): one from that range can be
-// gone by the time the process binds it.
+// The port range for processes that bind a port some time after it was chosen, or bind it again
+// after a kill. It lies below the ephemeral port range of the system (32768 and up): a port of
+// that range may be taken by an outgoing connection before the process binds it.
 const (
 	portsFrom = 20000
 	portsTo   = 32000
@@ -23,7 +22,7 @@
 	next int
 }
 
-// freeAddrs returns addresses that nobody listens on, each given out once.
+// freeAddrs returns addresses that nothing listens on. Each address is returned only once.
 func freeAddrs(c *qt.C, n int) []string {
 	ports.Lock()
 	defer ports.Unlock()
--- a/test/e2e/source_test.go
+++ b/test/e2e/source_test.go
@@ -19,8 +19,8 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// manifestAt returns the example manifest under another version number, with a
-// mark that tells two contents of one version apart.
+// manifestAt returns the example manifest with another version number. mark distinguishes
+// different contents of one version.
 func manifestAt(c *qt.C, version int, mark string) []byte {
 	raw, err := os.ReadFile("../../examples/ahnenbach.yaml")
 	c.Assert(err, qt.IsNil)
@@ -30,11 +30,11 @@
 }
 
 func (cl *cluster) submit(n *node, raw []byte) (source.Answer, error) {
-	client := operator.Client{Addr: n.operator, HTTP: &http.Client{Timeout: patience}}
+	client := operator.Client{Addr: n.operator, HTTP: &http.Client{Timeout: eventTimeout}}
 	return client.Submit(context.Background(), raw)
 }
 
-// accept submits until the manifest is accepted; sending again is safe.
+// accept submits a manifest until it is accepted. Submitting again is safe.
 func (cl *cluster) accept(n *node, raw []byte) {
 	cl.eventually("acceptance through "+n.name, func() error {
 		_, err := cl.submit(n, raw)
@@ -42,8 +42,8 @@
 	})
 }
 
-// inForce waits until the daemons have at least a fleet version.
-func (cl *cluster) inForce(version uint64, nodes ...*node) {
+// waitInForce waits until the given nodes have a fleet version of at least version in force.
+func (cl *cluster) waitInForce(version uint64, nodes ...*node) {
 	for _, n := range nodes {
 		cl.eventually(fmt.Sprintf("version %d at %s", version, n.name), func() error {
 			status, err := cl.status(n)
@@ -51,7 +51,7 @@
 				return err
 			}
 			if status.Mesh.Version < version {
-				return errors.Newf("at %d", status.Mesh.Version)
+				return errors.Newf("version %d", status.Mesh.Version)
 			}
 			return nil
 		})
@@ -59,53 +59,52 @@
 }
 
 func (cl *cluster) leader() *node {
-	var lead *node
+	var leading *node
 	cl.eventually("a leader", func() error {
 		for _, n := range cl.nodes {
 			status, err := cl.status(n)
 			if err == nil && status.Source != nil && status.Source.Role == "leader" {
-				lead = n
+				leading = n
 				return nil
 			}
 		}
-		return errors.New("no source leads")
+		return errors.New("no source is leader")
 	})
-	return lead
+	return leading
 }
 
-func without(nodes []*node, gone *node) []*node {
+func without(nodes []*node, excluded *node) []*node {
 	var rest []*node
 	for _, n := range nodes {
-		if n != gone {
+		if n != excluded {
 			rest = append(rest, n)
 		}
 	}
 	return rest
 }
 
-// TestFrozenLeader stops the leading source without ending it. The others
-// accept and spread further versions; when the old leader goes on, it neither
-// reverts one nor stays behind.
+// TestFrozenLeader freezes the leading source. The other sources must accept and distribute
+// further versions; when the old leader resumes, it must catch up and not revert any of them.
 func TestFrozenLeader(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(c, 4)
 	cl.accept(cl.nodes[3], manifestAt(c, 1, ""))
-	cl.inForce(1, cl.nodes...)
+	cl.waitInForce(1, cl.nodes...)
 	frozen := cl.leader()
 	c.Assert(frozen.process.cmd.Process.Signal(syscall.SIGSTOP), qt.IsNil)
 	rest := without(cl.nodes, frozen)
 	for version := 2; version <= 4; version++ {
 		cl.accept(rest[0], manifestAt(c, version, ""))
 	}
-	cl.inForce(4, rest...)
+	cl.waitInForce(4, rest...)
 	c.Assert(frozen.process.cmd.Process.Signal(syscall.SIGCONT), qt.IsNil)
-	cl.inForce(4, frozen)
+	cl.waitInForce(4, frozen)
 	cl.accept(frozen, manifestAt(c, 5, ""))
-	cl.inForce(5, cl.nodes...)
+	cl.waitInForce(5, cl.nodes...)
 }
 
-// TestLostDiskThenSecondLoss wipes the data folder of one source, waits for its
-// repair, and kills another for good right after: nothing accepted is lost.
+// TestLostDiskThenSecondLoss deletes the data folder of one source, waits for its repair and then
+// kills another source permanently. No accepted manifest may be lost.
 func TestLostDiskThenSecondLoss(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(c, 3)
@@ -139,9 +138,9 @@
 	}
 }
 
-// TestOperatorsRace sends different manifests under one version number through
-// different daemons at once: one wins, every other is told who won, and the
-// winner's resend gets the first answer.
+// TestOperatorsRace submits different manifests with the same version number through different
+// daemons at the same time. One must win, the others must get VersionConflict with the winner,
+// and a resend of the winner must get its first answer.
 func TestOperatorsRace(t *testing.T) {
 	c := qt.New(t)
 	cl := newCluster(c, 4)
@@ -175,5 +174,5 @@
 		c.Assert(again.Code, qt.Equals, result.AlreadyAccepted)
 		c.Assert(again.Fleet, qt.Equals, uint64(2))
 	}
-	cl.inForce(2, cl.nodes...)
+	cl.waitInForce(2, cl.nodes...)
 }
