--- a/soak/world.go
+++ b/soak/world.go
@@ -155,14 +155,14 @@
 		return err
 	}
 	p.started, p.shouldRun, p.exited = true, true, make(chan struct{})
-	go func(cmd *exec.Cmd, ended chan struct{}) {
+	go func(cmd *exec.Cmd, exited chan struct{}) {
 		_ = cmd.Wait()
 		p.mu.Lock()
 		if p.shouldRun {
 			record(cl.history, &cl.history.Faults, Fault{Kind: unexpectedExit, Target: p.name, At: time.Now(), Until: time.Now()})
 		}
 		p.mu.Unlock()
-		close(ended)
+		close(exited)
 	}(p.cmd, p.exited)
 	return nil
 }
