--- a/internal/connection/announce/lease.go
+++ b/internal/connection/announce/lease.go
@@ -6,80 +6,85 @@
 	"github.com/daisygate/daisygate/internal/process/presence"
 )
 
-// failureLimit is the number of vain dials in a row after which a server gets
-// no work, whatever it announces.
-const failureLimit = 2
+// maxDialFailures is the number of consecutive failed dials after which a server gets no more
+// requests, whatever it announces.
+const maxDialFailures = 2
 
-// lease is what one boot of a server announces, for as long as that holds.
+// lease is the registration of one boot (one start of a backend server). It ends unless further
+// announcements renew it.
 type lease struct {
-	// announced is what the server says of itself.
+	// announced is the state that the server announced.
 	announced presence.Server
-	// sequence is that of the newest announcement; 0 if it does not tell.
+	// sequence is the sequence number of the newest announcement; 0 if unknown.
 	sequence uint64
-	until    time.Time
-	// coldUntil is when the server has warmed up.
+	expires  time.Time
+	// coldUntil is the time when the server has warmed up.
 	coldUntil time.Time
-	// failures counts vain dials in a row.
-	failures int
-	// since is when the server began to take work; zero while it takes none.
-	since time.Time
-	// cold is set while the server works slowly after its start.
+	// dialFailures is the number of consecutive failed dials.
+	dialFailures int
+	// acceptingSince is the time when the server began to accept requests; zero while it
+	// accepts none.
+	acceptingSince time.Time
+	// cold is set while the server is slow after its start.
 	cold bool
-	// alive is set on a rival of a place that announced itself beside the holder.
-	alive bool
+	// renewedOnStandby is set on a standby lease that was announced while another boot was
+	// active at the address.
+	renewedOnStandby bool
 }
 
-// takesWork reports whether the server says that it does and can be reached.
-func (l *lease) takesWork() bool {
-	return l.announced.State.TakesWork() && l.failures < failureLimit
+// acceptsRequests reports whether the server announced that it accepts requests and can be
+// reached.
+func (l *lease) acceptsRequests() bool {
+	return l.announced.State.TakesWork() && l.dialFailures < maxDialFailures
 }
 
-// is reports whether an announcement is of the start that holds the lease.
-func (l *lease) is(a *Announcement) bool {
+// matches reports whether the announcement was sent by the same boot.
+func (l *lease) matches(a *Announcement) bool {
 	return l.announced.Boot == a.Boot && l.announced.Started == a.Started
 }
 
-// later reports whether the start that holds the lease is known to have begun after
-// that of an announcement.
-func (l *lease) later(a *Announcement) bool {
+// startedAfter reports whether the boot is known to have started after the one that sent the
+// announcement.
+func (l *lease) startedAfter(a *Announcement) bool {
 	return a.Started != 0 && l.announced.Started > a.Started
 }
 
-// late reports whether a newer announcement of the start is known.
-func (l *lease) late(a *Announcement) bool {
+// hasNewer reports whether a newer announcement of the same boot was received.
+func (l *lease) hasNewer(a *Announcement) bool {
 	return a.Sequence != 0 && a.Sequence <= l.sequence
 }
 
-// renew takes in what the server says of itself, until then.
-func (l *lease) renew(a *Announcement, server presence.Server, until time.Time) {
-	l.announced, l.until, l.sequence = server, until, a.Sequence
+// renew stores an announcement and extends the lease.
+func (l *lease) renew(a *Announcement, server presence.Server, expires time.Time) {
+	l.announced, l.expires, l.sequence = server, expires, a.Sequence
 }
 
-// setCold takes in how much longer the server works slowly; tells is set where that is told.
-func (l *lease) setCold(now time.Time, a *Announcement, tells bool) {
+// setCold stores how much longer the server is slow after its start. With advertise, the fleet
+// is informed of it.
+func (l *lease) setCold(now time.Time, a *Announcement, advertise bool) {
 	l.coldUntil = now.Add(time.Duration(a.ColdMillis) * time.Millisecond)
-	l.cold = tells && a.ColdMillis > 0
+	l.cold = advertise && a.ColdMillis > 0
 }
 
-// settle keeps since in step with everything else.
-func (l *lease) settle(now time.Time) {
+// updateAcceptingSince sets or clears acceptingSince after a change to the lease.
+func (l *lease) updateAcceptingSince(now time.Time) {
 	switch {
-	case !l.takesWork():
-		l.since = time.Time{}
-	case l.since.IsZero():
-		l.since = now
+	case !l.acceptsRequests():
+		l.acceptingSince = time.Time{}
+	case l.acceptingSince.IsZero():
+		l.acceptingSince = now
 	}
 }
 
-// server is what is told of the server to the fleet.
-func (l *lease) server() presence.Server {
+// advertised returns the state of the server that is published to the fleet.
+func (l *lease) advertised() presence.Server {
 	s := l.announced
 	s.Cold = l.cold
-	if s.State.TakesWork() && !l.takesWork() {
+	if s.State.TakesWork() && !l.acceptsRequests() {
 		s.State = presence.Joining
 	}
-	if !l.since.IsZero() {
-		s.Since = l.since.UnixMilli()
+	if !l.acceptingSince.IsZero() {
+		s.Since = l.acceptingSince.UnixMilli()
 	}
 	return s
 }
--- a/internal/connection/announce/place.go
+++ b/internal/connection/announce/place.go
@@ -7,66 +7,68 @@
 	"github.com/daisygate/daisygate/internal/process/presence"
 )
 
-// maxRivals bounds the boots that are kept beside the holder of an address.
-const maxRivals = 4
+// maxStandbys limits the standby leases at one address.
+const maxStandbys = 4
 
-// place is the boots that announce one address. Only one of them can listen there: the
-// holder is taken for it. The others are kept until their leases end, for an announcement
-// may come from elsewhere than the server: a boot that lost its place gets it back when the
-// holder turns out not to be there.
+// endpoint holds the leases of the boots that announce the same address. Only one of them can
+// be listening there: the active one is assumed to. The others remain on standby until their
+// leases expire, because an announcement may be sent by something other than the server: a boot
+// that was displaced becomes active again when the active one turns out not to be listening.
 //
-// Invariant: holder is not nil once the place is in a Registry.
-type place struct {
-	holder *lease
-	// rivals are in the order of their newest announcements.
-	rivals []*lease
+// Invariant: active is not nil once the endpoint is in a Registry.
+type endpoint struct {
+	active *lease
+	// standbys are ordered by their newest announcement, the oldest first.
+	standbys []*lease
 }
 
-// lease returns the lease of the start that an announcement is of, or nil.
-func (p *place) lease(a *Announcement) *lease {
-	if p.holder != nil && p.holder.is(a) {
-		return p.holder
+// find returns the lease of the boot that sent the announcement, or nil.
+func (e *endpoint) find(a *Announcement) *lease {
+	if e.active != nil && e.active.matches(a) {
+		return e.active
 	}
-	if i := slices.IndexFunc(p.rivals, func(l *lease) bool { return l.is(a) }); i >= 0 {
-		return p.rivals[i]
+	if i := slices.IndexFunc(e.standbys, func(l *lease) bool { return l.matches(a) }); i >= 0 {
+		return e.standbys[i]
 	}
 	return nil
 }
 
-// yields reports whether an announcement of another boot takes the place. One that takes no
-// work does not: no request would ever find out that it is not there.
-func (p *place) yields(a *Announcement, state presence.ServerState) bool {
+// yieldsTo reports whether the announcement of another boot replaces the active lease. A boot
+// that accepts no requests does not replace one that does: no request would ever detect that it
+// is not listening.
+func (e *endpoint) yieldsTo(a *Announcement, state presence.ServerState) bool {
 	switch {
-	case p.holder == nil:
+	case e.active == nil:
 		return true
-	case p.holder.later(a):
+	case e.active.startedAfter(a):
 		return false
 	}
-	return state.TakesWork() || !p.holder.takesWork()
+	return state.TakesWork() || !e.active.acceptsRequests()
 }
 
-// take gives the place to a boot.
-func (p *place) take(l *lease) {
-	if p.holder != nil {
-		p.aside(p.holder)
+// activate makes l the active lease and keeps the previous one on standby.
+func (e *endpoint) activate(l *lease) {
+	if e.active != nil {
+		e.addStandby(e.active)
 	}
-	p.holder = l
+	e.active = l
 }
 
-// aside keeps a boot as the rival that was heard last.
-func (p *place) aside(l *lease) {
-	p.rivals = slices.DeleteFunc(p.rivals, func(o *lease) bool { return o == l })
-	p.rivals = append(p.rivals, l)
-	if len(p.rivals) > maxRivals {
-		p.rivals = slices.Delete(p.rivals, 0, 1)
+// addStandby makes l the most recently announced standby lease and drops the oldest one above
+// the limit.
+func (e *endpoint) addStandby(l *lease) {
+	e.standbys = slices.DeleteFunc(e.standbys, func(o *lease) bool { return o == l })
+	e.standbys = append(e.standbys, l)
+	if len(e.standbys) > maxStandbys {
+		e.standbys = slices.Delete(e.standbys, 0, 1)
 	}
 }
 
-// outlived takes the rivals out whose leases ended, and returns them.
-func (p *place) outlived(now time.Time) []*lease {
+// removeExpired removes and returns the expired standby leases.
+func (e *endpoint) removeExpired(now time.Time) []*lease {
 	var ended []*lease
-	p.rivals = slices.DeleteFunc(p.rivals, func(l *lease) bool {
-		if now.After(l.until) {
+	e.standbys = slices.DeleteFunc(e.standbys, func(l *lease) bool {
+		if now.After(l.expires) {
 			ended = append(ended, l)
 			return true
 		}
@@ -75,18 +77,18 @@
 	return ended
 }
 
-// restore gives the place to the newest rival whose lease runs, in place of the holder;
-// alive asks for one that announced itself since it lost the place. It reports whether
-// there is one.
-func (p *place) restore(now time.Time, alive bool) bool {
-	for i, l := range slices.Backward(p.rivals) {
-		if now.After(l.until) || alive && !l.alive {
+// promoteStandby replaces the active lease with the most recently announced standby lease that
+// has not expired. With renewedOnly, only leases that were announced while on standby qualify.
+// It reports whether there was one.
+func (e *endpoint) promoteStandby(now time.Time, renewedOnly bool) bool {
+	for i, l := range slices.Backward(e.standbys) {
+		if now.After(l.expires) || renewedOnly && !l.renewedOnStandby {
 			continue
 		}
-		p.rivals = slices.Delete(p.rivals, i, i+1)
-		l.alive, l.failures = false, 0
-		l.settle(now)
-		p.holder = l
+		e.standbys = slices.Delete(e.standbys, i, i+1)
+		l.renewedOnStandby, l.dialFailures = false, 0
+		l.updateAcceptingSince(now)
+		e.active = l
 		return true
 	}
 	return false
--- a/internal/connection/announce/registry.go
+++ b/internal/connection/announce/registry.go
@@ -9,61 +9,61 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// disproofTime is how long the announcements of a boot are passed over once another one
-// answered at its address, and maxDisproved how many such boots are remembered.
+// disproofDuration is how long announcements of a boot are ignored after another boot responded
+// at its address. maxDisproved limits the number of such boots.
 const (
-	disproofTime = 30 * time.Second
-	maxDisproved = 256
+	disproofDuration = 30 * time.Second
+	maxDisproved     = 256
 )
 
-// Registry holds the leases of the backend servers beside a daemon. It is not safe for
-// concurrent use and reads no clock.
+// Registry holds the leases of the backend servers on the same instance as the daemon. It is
+// not safe for concurrent use, and its callers pass the current time.
 //
-// Invariant: it holds at most presence.MaxServers places.
+// Invariant: it holds at most presence.MaxServers endpoints.
 type Registry struct {
-	// places are by address.
-	places map[string]*place
-	boots  boots
-	// disproved are the boots in whose place another one answered, with the time until
-	// which they are passed over.
+	// endpoints is keyed by address.
+	endpoints  map[string]*endpoint
+	endedBoots endedBoots
+	// disproved maps a boot ID, at whose address another boot responded, to the time until
+	// which its announcements are ignored.
 	disproved map[string]time.Time
-	// tellsCold has servers tell while they work slowly after their start, which takes a
-	// further record of each start.
-	tellsCold bool
+	// advertiseCold publishes to the fleet which servers are slow after their start. This costs
+	// one more presence record for each start.
+	advertiseCold bool
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{places: map[string]*place{}, disproved: map[string]time.Time{}}
+	return &Registry{endpoints: map[string]*endpoint{}, disproved: map[string]time.Time{}}
 }
 
-// Verdict says what became of an announcement that is well formed.
+// Verdict is the effect of a valid announcement.
 type Verdict uint8
 
-// The verdicts.
 const (
-	// Renewed announcements changed nothing but the lease's end.
+	// Renewed announcements only extended the lease.
 	Renewed Verdict = iota + 1
-	// Changed announcements changed what is told of the server.
+	// Changed announcements changed the published state of the server.
 	Changed
-	// Late ones were passed over: a newer one of the same boot is known.
-	Late
-	// Over ones were passed over: their boot has ended, or a later one holds its address.
-	Over
-	// Disproved ones were passed over: another boot answered at their address.
+	// Outdated announcements were ignored: a newer one of the same boot was received.
+	Outdated
+	// Superseded announcements were ignored: their boot has ended, or another boot is active at
+	// its address.
+	Superseded
+	// Disproved announcements were ignored: another boot responded at their address.
 	Disproved
 )
 
-// String returns the verdict in one word.
+// String returns the verdict as one word, for logs and metrics.
 func (v Verdict) String() string {
 	switch v {
 	case Renewed:
 		return "renewed"
 	case Changed:
 		return "changed"
-	case Late:
+	case Outdated:
 		return "late"
-	case Over:
+	case Superseded:
 		return "over"
 	case Disproved:
 		return "disproved"
@@ -71,145 +71,146 @@
 	return "refused"
 }
 
-// PassedOver reports whether the announcement had no effect.
-func (v Verdict) PassedOver() bool { return v == Late || v == Over || v == Disproved }
+// PassedOver reports whether the announcement was ignored.
+func (v Verdict) PassedOver() bool { return v == Outdated || v == Superseded || v == Disproved }
 
-// Put takes an announcement in.
+// Put registers or renews the server that sent the announcement.
 func (r *Registry) Put(now time.Time, a Announcement) (Verdict, *result.Error) {
-	server, length, err := a.check()
+	server, leaseDuration, err := a.validate()
 	if err != nil {
 		return 0, err
 	}
 	switch {
-	case r.boots.over(a.Boot, a.Started):
-		return Over, nil
+	case r.endedBoots.contains(a.Boot, a.Started):
+		return Superseded, nil
 	case now.Before(r.disproved[a.Boot]):
 		return Disproved, nil
 	}
-	p := r.places[a.Address]
-	if p == nil {
-		if len(r.places) >= presence.MaxServers {
-			return 0, result.Errorf(result.AnnounceFull, "%d backend servers are announced here already", len(r.places))
+	e := r.endpoints[a.Address]
+	if e == nil {
+		if len(r.endpoints) >= presence.MaxServers {
+			return 0, result.Errorf(result.AnnounceFull, "%d backend servers are already announced here", len(r.endpoints))
 		}
-		p = &place{}
-		r.places[a.Address] = p
+		e = &endpoint{}
+		r.endpoints[a.Address] = e
 	}
-	return r.put(now, p, &a, server, now.Add(length)), nil
+	return r.put(now, e, &a, server, now.Add(leaseDuration)), nil
 }
 
-// put takes in an announcement at its place.
-func (r *Registry) put(now time.Time, p *place, a *Announcement, server presence.Server, until time.Time) Verdict {
-	l := p.lease(a)
-	if l != nil && l.late(a) {
-		return Late
+// put applies a valid announcement to the endpoint at its address.
+func (r *Registry) put(now time.Time, e *endpoint, a *Announcement, server presence.Server, expires time.Time) Verdict {
+	l := e.find(a)
+	if l != nil && l.hasNewer(a) {
+		return Outdated
 	}
 	if l == nil {
 		l = &lease{}
-		if p.yields(a, server.State) {
-			p.take(l)
+		if e.yieldsTo(a, server.State) {
+			e.activate(l)
 		}
 	}
-	before := l.server()
-	l.renew(a, server, until)
-	if l != p.holder {
-		l.alive = true
-		p.aside(l)
-		return Over
+	before := l.advertised()
+	l.renew(a, server, expires)
+	if l != e.active {
+		l.renewedOnStandby = true
+		e.addStandby(l)
+		return Superseded
 	}
-	l.setCold(now, a, r.tellsCold)
-	l.settle(now)
-	for _, ended := range p.outlived(now) {
-		r.boots.end(ended.announced.Boot, ended.announced.Started)
+	l.setCold(now, a, r.advertiseCold)
+	l.updateAcceptingSince(now)
+	for _, ended := range e.removeExpired(now) {
+		r.endedBoots.add(ended.announced.Boot, ended.announced.Started)
 	}
-	if l.server() != before {
+	if l.advertised() != before {
 		return Changed
 	}
 	return Renewed
 }
 
-// Dialled takes in whether a server could be reached, and reports whether that
-// changed what is told of it.
-func (r *Registry) Dialled(now time.Time, address string, reached bool) bool {
-	p := r.places[address]
-	if p == nil {
+// RecordDial records whether a server could be reached, and reports whether that changed its
+// published state.
+func (r *Registry) RecordDial(now time.Time, address string, reached bool) bool {
+	e := r.endpoints[address]
+	if e == nil {
 		return false
 	}
-	l := p.holder
-	before := l.server()
-	l.failures++
+	l := e.active
+	before := l.advertised()
+	l.dialFailures++
 	if reached {
-		l.failures = 0
+		l.dialFailures = 0
 	}
-	l.settle(now)
-	return l.server() != before
+	l.updateAcceptingSince(now)
+	return l.advertised() != before
 }
 
-// Misdirected takes in that another boot than the one named answered at an address, and
-// reports whether that changed what is told of the server there.
-func (r *Registry) Misdirected(now time.Time, address, boot string) bool {
-	p := r.places[address]
-	if p == nil || boot == "" || p.holder.announced.Boot != boot {
+// RecordMisdirected records that a boot other than the given one responded at the address, and
+// reports whether that changed the published state of the server there.
+func (r *Registry) RecordMisdirected(now time.Time, address, boot string) bool {
+	e := r.endpoints[address]
+	if e == nil || boot == "" || e.active.announced.Boot != boot {
 		return false
 	}
 	if len(r.disproved) >= maxDisproved {
 		clear(r.disproved)
 	}
-	r.disproved[boot] = now.Add(disproofTime)
-	p.rivals = slices.DeleteFunc(p.rivals, func(l *lease) bool { return l.announced.Boot == boot })
-	if !p.restore(now, false) {
-		delete(r.places, address)
+	r.disproved[boot] = now.Add(disproofDuration)
+	e.standbys = slices.DeleteFunc(e.standbys, func(l *lease) bool { return l.announced.Boot == boot })
+	if !e.promoteStandby(now, false) {
+		delete(r.endpoints, address)
 	}
 	return true
 }
 
-// Delete withdraws a server and reports whether it was known.
+// Delete removes the server at an address and reports whether it was registered.
 func (r *Registry) Delete(address string) bool {
-	p, known := r.places[address]
+	e, known := r.endpoints[address]
 	if known {
-		r.boots.end(p.holder.announced.Boot, p.holder.announced.Started)
+		r.endedBoots.add(e.active.announced.Boot, e.active.announced.Started)
 	}
-	delete(r.places, address)
+	delete(r.endpoints, address)
 	return known
 }
 
-// End withdraws the boot named, started then or 0 for whenever, whatever its address,
-// and reports whether that changed what is told of a server. Announcements of it that come
-// later are passed over; a rival that announced itself beside it may come back with its next.
+// End removes a boot at any address and reports whether that changed the published state of a
+// server. started is its start time, or 0 for any. Later announcements of the boot are ignored.
+// A lease that was renewed while on standby at the same address is removed too, but its boot
+// may register again with its next announcement.
 func (r *Registry) End(boot string, started int64) bool {
-	r.boots.end(boot, started)
+	r.endedBoots.add(boot, started)
 	if boot == "" {
 		return false
 	}
-	ends := func(l *lease) bool {
+	matches := func(l *lease) bool {
 		return l.announced.Boot == boot && (started == 0 || l.announced.Started <= started)
 	}
-	for address, p := range r.places {
-		p.rivals = slices.DeleteFunc(p.rivals, ends)
-		if !ends(p.holder) {
+	for address, e := range r.endpoints {
+		e.standbys = slices.DeleteFunc(e.standbys, matches)
+		if !matches(e.active) {
 			continue
 		}
-		r.boots.end(boot, p.holder.announced.Started)
-		for _, l := range p.rivals {
-			if !l.alive {
-				r.boots.end(l.announced.Boot, l.announced.Started)
+		r.endedBoots.add(boot, e.active.announced.Started)
+		for _, l := range e.standbys {
+			if !l.renewedOnStandby {
+				r.endedBoots.add(l.announced.Boot, l.announced.Started)
 			}
 		}
-		delete(r.places, address)
+		delete(r.endpoints, address)
 		return true
 	}
 	return false
 }
 
-// Expire drops leases that ran out and takes servers for warm whose time has come. It
-// reports whether there were any of either.
+// Expire removes expired leases and ends the slow start of servers that have warmed up. It
+// reports whether anything changed.
 func (r *Registry) Expire(now time.Time) bool {
 	maps.DeleteFunc(r.disproved, func(_ string, until time.Time) bool { return !now.Before(until) })
 	changed := false
-	for address, p := range r.places {
-		switch l := p.holder; {
-		case now.After(l.until):
-			if !p.restore(now, true) {
-				delete(r.places, address)
+	for address, e := range r.endpoints {
+		switch l := e.active; {
+		case now.After(l.expires):
+			if !e.promoteStandby(now, true) {
+				delete(r.endpoints, address)
 			}
 			changed = true
 		case l.cold && !now.Before(l.coldUntil):
@@ -220,11 +221,11 @@
 	return changed
 }
 
-// Servers returns the known servers in order of address.
+// Servers returns the published state of the registered servers, ordered by address.
 func (r *Registry) Servers() []presence.Server {
 	var servers []presence.Server
-	for _, address := range slices.Sorted(maps.Keys(r.places)) {
-		servers = append(servers, r.places[address].holder.server())
+	for _, address := range slices.Sorted(maps.Keys(r.endpoints)) {
+		servers = append(servers, r.endpoints[address].active.advertised())
 	}
 	return servers
 }
--- a/internal/connection/announce/registry_test.go
+++ b/internal/connection/announce/registry_test.go
@@ -14,7 +14,7 @@
 	"github.com/daisygate/daisygate/internal/process/presence"
 )
 
-// TestLeases plays the golden sessions of a registry; at is in seconds.
+// TestLeases runs the recorded sessions of a registry in testdata/leases; at is in seconds.
 func TestLeases(t *testing.T) {
 	r := NewRegistry()
 	states := []string{"joining", "warming", "serving", "draining"}
@@ -38,9 +38,9 @@
 			if refused != nil {
 				err = refused
 			}
-			return fmt.Sprintf("changed=%t error=%v\n%s", verdict == Changed, err, show(r, states))
+			return fmt.Sprintf("changed=%t error=%v\n%s", verdict == Changed, err, formatServers(r, states))
 		case "dial":
-			changed = r.Dialled(now, address, d.HasArg("reached"))
+			changed = r.RecordDial(now, address, d.HasArg("reached"))
 		case "expire":
 			changed = r.Expire(now)
 		case "end":
@@ -48,11 +48,11 @@
 		case "delete":
 			changed = r.Delete(address)
 		}
-		return fmt.Sprintf("changed=%t\n%s", changed, show(r, states))
+		return fmt.Sprintf("changed=%t\n%s", changed, formatServers(r, states))
 	})
 }
 
-func show(r *Registry, states []string) string {
+func formatServers(r *Registry, states []string) string {
 	var b strings.Builder
 	for _, s := range r.Servers() {
 		fmt.Fprintf(&b, "%s %s since=%ds\n", s.Addr, states[s.State], s.Since/1000)
@@ -60,11 +60,12 @@
 	return b.String()
 }
 
-// TestHandler gives the listener input that it must refuse.
+// TestHandler checks that the listener rejects invalid and remote requests, and more servers
+// than the limit.
 func TestHandler(t *testing.T) {
 	c := qt.New(t)
-	told := 0
-	s := NewServer(true, func([]presence.Server) { told++ })
+	changes := 0
+	s := NewServer(true, func([]presence.Server) { changes++ })
 	request := func(method, from, target, body string) int {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(method, target, strings.NewReader(body))
@@ -75,29 +76,30 @@
 	good := func(i int) string {
 		return fmt.Sprintf(`{"mesh":"m","service":"s","address":"10.0.0.1:%d","slots":1,"connections":1}`, 8000+i)
 	}
-	const here, there = "127.0.0.1:9", "10.0.0.2:9"
-	c.Assert(request(http.MethodPut, there, ServersPath, good(0)), qt.Equals, http.StatusForbidden)
-	for _, body := range []string{"", "{", good(0) + good(1), `{"unknown":1}`, strings.Repeat(" ", maxBody) + good(0), strings.Replace(good(0), "8000", "0", 1)} {
-		c.Assert(request(http.MethodPut, here, ServersPath, body), qt.Not(qt.Equals), http.StatusNoContent, qt.Commentf("%.80s", body))
+	const loopback, remote = "127.0.0.1:9", "10.0.0.2:9"
+	c.Assert(request(http.MethodPut, remote, ServersPath, good(0)), qt.Equals, http.StatusForbidden)
+	for _, body := range []string{"", "{", good(0) + good(1), `{"unknown":1}`, strings.Repeat(" ", maxBodyBytes) + good(0), strings.Replace(good(0), "8000", "0", 1)} {
+		c.Assert(request(http.MethodPut, loopback, ServersPath, body), qt.Not(qt.Equals), http.StatusNoContent, qt.Commentf("%.80s", body))
 	}
-	c.Assert(request(http.MethodDelete, here, ServersPath, ""), qt.Not(qt.Equals), http.StatusNoContent)
-	c.Assert(told, qt.Equals, 0)
+	c.Assert(request(http.MethodDelete, loopback, ServersPath, ""), qt.Not(qt.Equals), http.StatusNoContent)
+	c.Assert(changes, qt.Equals, 0)
 	for i := range presence.MaxServers {
-		c.Assert(request(http.MethodPut, here, ServersPath, good(i)), qt.Equals, http.StatusNoContent)
+		c.Assert(request(http.MethodPut, loopback, ServersPath, good(i)), qt.Equals, http.StatusNoContent)
 	}
-	c.Assert(request(http.MethodPut, here, ServersPath, good(presence.MaxServers)), qt.Equals, http.StatusTooManyRequests)
-	c.Assert(request(http.MethodPut, here, ServersPath, good(0)), qt.Equals, http.StatusNoContent)
-	c.Assert(told, qt.Equals, presence.MaxServers)
+	c.Assert(request(http.MethodPut, loopback, ServersPath, good(presence.MaxServers)), qt.Equals, http.StatusTooManyRequests)
+	c.Assert(request(http.MethodPut, loopback, ServersPath, good(0)), qt.Equals, http.StatusNoContent)
+	c.Assert(changes, qt.Equals, presence.MaxServers)
 }
 
-// TestSameNameStartsAgain holds that a server which starts again under its name is
-// taken for a new one, with counts that begin anew, and that nothing which an
-// earlier start still says counts: no report, however high its count, and no end.
+// TestSameNameStartsAgain guards against a restarted server that reuses its boot ID and is
+// mistaken for its earlier boot. Its sequence numbers restart, and neither delayed
+// announcements of the earlier boot, however high their sequence number, nor its end may affect
+// the new one.
 func TestSameNameStartsAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	r := NewRegistry()
-	said := func(started int64, sequence uint64, state string) bool {
+	put := func(started int64, sequence uint64, state string) bool {
 		verdict, err := r.Put(now, Announcement{
 			Mesh: "m", Service: "s", Address: "127.0.0.1:80", Slots: 4, Connections: 4,
 			State: state, Boot: "b", Started: started, Sequence: sequence,
@@ -105,27 +107,27 @@
 		c.Assert(err == nil, qt.IsTrue)
 		return verdict == Changed
 	}
-	c.Check(said(100, 50, "serving"), qt.IsTrue)
-	c.Check(said(200, 1, "serving"), qt.IsTrue)
+	c.Check(put(100, 50, "serving"), qt.IsTrue)
+	c.Check(put(200, 1, "serving"), qt.IsTrue)
 	c.Check(r.Servers()[0].Started, qt.Equals, int64(200))
-	c.Check(said(100, 51, "draining"), qt.IsFalse)
+	c.Check(put(100, 51, "draining"), qt.IsFalse)
 	c.Check(r.End("b", 100), qt.IsFalse)
 	c.Check(r.Servers(), qt.HasLen, 1)
-	c.Check(said(200, 2, "draining"), qt.IsTrue)
+	c.Check(put(200, 2, "draining"), qt.IsTrue)
 	c.Check(r.End("b", 200), qt.IsTrue)
-	c.Check(said(200, 3, "serving"), qt.IsFalse)
-	c.Check(said(100, 60, "serving"), qt.IsFalse)
-	c.Check(said(300, 1, "serving"), qt.IsTrue)
+	c.Check(put(200, 3, "serving"), qt.IsFalse)
+	c.Check(put(100, 60, "serving"), qt.IsFalse)
+	c.Check(put(300, 1, "serving"), qt.IsTrue)
 }
 
-// TestCold tells a server's slow start where roll-outs are in use, and that it is over, and
-// carries its software version.
+// TestCold checks that the slow start of a server and its end are published only where rollouts
+// are in use, and that its software version is published.
 func TestCold(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(1000, 0)
-	for _, tells := range []bool{false, true} {
+	for _, advertise := range []bool{false, true} {
 		r := NewRegistry()
-		r.tellsCold = tells
+		r.advertiseCold = advertise
 		put := func(at time.Time, cold int) bool {
 			verdict, err := r.Put(at, Announcement{Mesh: "m", Service: "s", Version: "v2", Address: "10.0.0.1:80", Slots: 1, Connections: 1, LeaseSeconds: 60, ColdMillis: cold})
 			c.Assert(err == nil, qt.IsTrue)
@@ -133,10 +135,10 @@
 		}
 		c.Check(put(start, 3000), qt.IsTrue)
 		c.Check(r.Servers()[0].Version, qt.Equals, "v2")
-		c.Check(r.Servers()[0].Cold, qt.Equals, tells)
-		c.Check(put(start.Add(time.Second), 2000), qt.IsFalse, qt.Commentf("nothing new is told"))
+		c.Check(r.Servers()[0].Cold, qt.Equals, advertise)
+		c.Check(put(start.Add(time.Second), 2000), qt.IsFalse, qt.Commentf("no change of the published state"))
 		c.Check(r.Expire(start.Add(2*time.Second)), qt.IsFalse)
-		c.Check(r.Expire(start.Add(3*time.Second)), qt.Equals, tells)
+		c.Check(r.Expire(start.Add(3*time.Second)), qt.Equals, advertise)
 		c.Check(r.Servers()[0].Cold, qt.IsFalse)
 	}
 }
--- a/internal/connection/announce/server.go
+++ b/internal/connection/announce/server.go
@@ -18,59 +18,59 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// ServersPath is where servers announce themselves: PUT to announce or renew,
-// DELETE with ?address= to withdraw.
+// ServersPath is the path for announcements: PUT announces a server or renews its lease, DELETE
+// with ?address= removes it.
 const ServersPath = "/v1/servers"
 
 const (
-	maxBody        = 16 << 10
+	maxBodyBytes   = 16 << 10
 	bodyTimeout    = 5 * time.Second
 	expireInterval = 500 * time.Millisecond
-	dialInterval   = time.Second
-	// dialTimeout is long: a busy instance is no dead server.
-	dialTimeout = 2 * time.Second
+	probeInterval  = time.Second
+	// probeTimeout is long so that a busy instance is not mistaken for a failed server.
+	probeTimeout = 2 * time.Second
 )
 
-// Server is the HTTP side of a Registry.
+// Server is the HTTP interface of a Registry.
 type Server struct {
 	mu       sync.Mutex
 	registry *Registry
 	onChange func([]presence.Server)
-	// dials is set if servers are dialled to see whether they can be reached.
-	dials bool
-	// dialling is set while dials are under way.
-	dialling atomic.Bool
-	// Intent refuses well-formed announcements that are not of a server which was intended
-	// here; nil refuses none. It must not call the Server.
+	// probeEnabled is set if servers are dialled periodically to check whether they can be
+	// reached.
+	probeEnabled bool
+	// probing is set while dials are in progress.
+	probing atomic.Bool
+	// Intent refuses valid announcements that are not from a server intended for this instance;
+	// nil accepts all. It must not call methods of the Server.
 	Intent func(a *Announcement) *result.Error
-	// Met is told what became of each announcement, before Run is called; nil tells
-	// nobody. It must not call the Server.
+	// Met is called with the outcome of each announcement; nil disables it. It must be set
+	// before Run is called, and must not call methods of the Server.
 	Met func(a *Announcement, v Verdict, refused *result.Error)
 }
 
-// NewServer returns a server that calls onChange with each new set of servers.
-// With dials it looks once a second whether each server can be reached.
-func NewServer(dials bool, onChange func([]presence.Server)) *Server {
-	return &Server{registry: NewRegistry(), dials: dials, onChange: onChange}
+// NewServer returns a server that calls onChange with each new set of servers. With probe, it
+// dials each server once a second to check whether it can be reached.
+func NewServer(probe bool, onChange func([]presence.Server)) *Server {
+	return &Server{registry: NewRegistry(), probeEnabled: probe, onChange: onChange}
 }
 
-// TellCold has servers tell while they work slowly after their start. It is called before
-// Run.
-func (s *Server) TellCold() { s.registry.tellsCold = true }
+// TellCold publishes which servers are slow after their start. It must be called before Run.
+func (s *Server) TellCold() { s.registry.advertiseCold = true }
 
-// Announce takes in what a server says of itself.
+// Announce processes an announcement and returns the reason if it is refused.
 func (s *Server) Announce(a Announcement) *result.Error {
 	var refused *result.Error
-	s.change(func() bool {
+	s.update(func() bool {
 		now := time.Now()
 		verdict, err := s.put(now, &a)
 		refused = err
-		s.met(&a, verdict, err)
+		s.notifyAnnouncement(&a, verdict, err)
 		changed := verdict == Changed
-		if err == nil && !verdict.PassedOver() && !s.dials {
-			// A server that announces itself is alive: only the failures of
-			// requests speak against it.
-			changed = s.registry.Dialled(now, a.Address, true) || changed
+		if err == nil && !verdict.PassedOver() && !s.probeEnabled {
+			// An announcement shows that the server is running: without probes, only
+			// failed requests count as dial failures.
+			changed = s.registry.RecordDial(now, a.Address, true) || changed
 		}
 		return changed
 	})
@@ -86,30 +86,30 @@
 	return s.registry.Put(now, *a)
 }
 
-func (s *Server) met(a *Announcement, v Verdict, refused *result.Error) {
+func (s *Server) notifyAnnouncement(a *Announcement, v Verdict, refused *result.Error) {
 	if s.Met != nil {
 		s.Met(a, v, refused)
 	}
 }
 
-// End takes in that a boot of a server is over, one that started then or, with 0,
-// whichever is known.
+// End removes a boot of a server that has ended. started is its start time, or 0 for any.
 func (s *Server) End(boot string, started int64) {
-	s.change(func() bool { return s.registry.End(boot, started) })
+	s.update(func() bool { return s.registry.End(boot, started) })
 }
 
-// Refused takes in that nobody listens at a server's address.
+// Refused records that a connection to the server was refused.
 func (s *Server) Refused(address string) {
-	s.change(func() bool { return s.registry.Dialled(time.Now(), address, false) })
+	s.update(func() bool { return s.registry.RecordDial(time.Now(), address, false) })
 }
 
-// Misdirected takes in that another boot than the one named answered at a server's address.
+// Misdirected records that a boot other than the given one responded at the address of a
+// server.
 func (s *Server) Misdirected(address, boot string) {
-	s.change(func() bool { return s.registry.Misdirected(time.Now(), address, boot) })
+	s.update(func() bool { return s.registry.RecordMisdirected(time.Now(), address, boot) })
 }
 
-// Handler returns the routes of the announcement listener. It takes requests
-// from this instance only.
+// Handler returns the routes of the announcement listener. It accepts requests from the same
+// instance only.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(ServersPath, s.servePut).Methods(http.MethodPut)
@@ -125,8 +125,8 @@
 	})
 }
 
-// sameInstance reports whether a request comes from loopback or from the address
-// that it was sent to.
+// sameInstance reports whether a request comes from a loopback address or from the address to
+// which it was sent.
 func sameInstance(r *http.Request) bool {
 	from, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -140,44 +140,44 @@
 	return err == nil && to.Addr().Unmap() == from.Addr().Unmap()
 }
 
-// Run drops expired leases and dials the servers until ctx ends.
+// Run removes expired leases and dials the servers until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
-	dial := time.NewTicker(dialInterval)
+	dial := time.NewTicker(probeInterval)
 	defer dial.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-expire.C:
-			s.change(func() bool { return s.registry.Expire(now) })
+			s.update(func() bool { return s.registry.Expire(now) })
 		case <-dial.C:
-			if s.dials && s.dialling.CompareAndSwap(false, true) {
-				go s.dialAll()
+			if s.probeEnabled && s.probing.CompareAndSwap(false, true) {
+				go s.probeAll()
 			}
 		}
 	}
 }
 
-// dialAll dials every server, all at a time.
-func (s *Server) dialAll() {
-	defer s.dialling.Store(false)
+// probeAll dials all servers concurrently.
+func (s *Server) probeAll() {
+	defer s.probing.Store(false)
 	s.mu.Lock()
 	servers := s.registry.Servers()
 	s.mu.Unlock()
 	var wait sync.WaitGroup
 	for _, server := range servers {
 		wait.Go(func() {
-			reached := dial(server.Addr)
-			s.change(func() bool { return s.registry.Dialled(time.Now(), server.Addr, reached) })
+			reached := canDial(server.Addr)
+			s.update(func() bool { return s.registry.RecordDial(time.Now(), server.Addr, reached) })
 		})
 	}
 	wait.Wait()
 }
 
-func dial(addr string) bool {
-	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
+func canDial(addr string) bool {
+	conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 	if err != nil {
 		return false
 	}
@@ -185,7 +185,7 @@
 	return true
 }
 
-func (s *Server) change(f func() bool) {
+func (s *Server) update(f func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f() {
@@ -196,7 +196,7 @@
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request) {
 	a, err := decode(w, r)
 	if err != nil {
-		result.WriteHTTP(w, bodyFault(err))
+		result.WriteHTTP(w, bodyError(err))
 		return
 	}
 	if refused := s.Announce(a); refused != nil {
@@ -210,7 +210,7 @@
 func decode(w http.ResponseWriter, r *http.Request) (Announcement, error) {
 	var a Announcement
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&a); err != nil {
 		return a, err
@@ -227,15 +227,15 @@
 		result.WriteHTTP(w, result.Errorf(result.AnnounceInvalid, "address: is required"))
 		return
 	}
-	s.change(func() bool { return s.registry.Delete(address) })
+	s.update(func() bool { return s.registry.Delete(address) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// bodyFault tells a body that is too large from one that is no announcement.
-func bodyFault(err error) *result.Error {
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return result.Errorf(result.InputTooLarge, "announcement: want at most %d bytes", large.Limit)
+// bodyError distinguishes a body that is too large from one that is not a valid announcement.
+func bodyError(err error) *result.Error {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return result.Errorf(result.InputTooLarge, "announcement: want at most %d bytes", tooLarge.Limit)
 	}
 	return result.Errorf(result.AnnounceInvalid, "body: %v", err)
 }
