--- a/internal/connection/operator/client.go
+++ b/internal/connection/operator/client.go
@@ -16,7 +16,7 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// Client calls the API of one daemon. A refusal comes back as *result.Error.
+// Client calls the operator API of one daemon. A refusal is returned as *result.Error.
 type Client struct {
 	// Addr is the operator address, "ip:port".
 	Addr  string
@@ -24,43 +24,42 @@
 	HTTP  *http.Client
 }
 
-// Submit sends a manifest. On a nil error it was accepted, now or before. A
-// refusal is an *result.Error, and the answer then names the winner where
-// there is one.
+// Submit sends a manifest. A nil error means that it was accepted, by this call or an earlier
+// one. A refusal is an *result.Error; if another manifest won, the answer names it.
 func (c *Client) Submit(ctx context.Context, raw []byte) (source.Answer, error) {
 	var answer source.Answer
 	err := c.do(ctx, http.MethodPost, ManifestsPath, raw, &answer)
 	return answer, err
 }
 
-// Status asks for the daemon's own status.
+// Status returns the status of the daemon itself.
 func (c *Client) Status(ctx context.Context) (NodeStatus, error) {
 	var status NodeStatus
 	return status, c.do(ctx, http.MethodGet, StatusPath, nil, &status)
 }
 
-// Fleet asks for the versions in force everywhere; all lists every daemon of a
-// large fleet too.
+// Fleet returns the versions in force on all daemons. With all, it lists every daemon even of a
+// large fleet.
 func (c *Client) Fleet(ctx context.Context, all bool) (Fleet, error) {
 	var fleet Fleet
 	path := FleetPath + "?" + url.Values{allParameter: {strconv.FormatBool(all)}}.Encode()
 	return fleet, c.do(ctx, http.MethodGet, path, nil, &fleet)
 }
 
-// History asks for the newest accepted manifests, oldest first.
+// History returns the newest accepted manifests, the oldest of them first.
 func (c *Client) History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
 	var history []source.Accepted
 	query := url.Values{meshParameter: {r.Mesh}, limitParameter: {strconv.Itoa(r.Limit)}}
 	return history, c.do(ctx, http.MethodGet, HistoryPath+"?"+query.Encode(), nil, &history)
 }
 
-// InForce asks for the manifest of a mesh that the daemon has in force.
+// InForce returns the manifest of a mesh that is in force on the daemon.
 func (c *Client) InForce(ctx context.Context, mesh string) (InForce, error) {
 	var m InForce
 	return m, c.do(ctx, http.MethodGet, ManifestsPath+"/"+url.PathEscape(mesh), nil, &m)
 }
 
-// Drain begins or undoes a drain; repeating it is safe.
+// Drain starts or cancels a drain; it is idempotent.
 func (c *Client) Drain(ctx context.Context, r DrainRequest) (DrainStatus, error) {
 	var status DrainStatus
 	raw, err := json.Marshal(r)
@@ -70,31 +69,31 @@
 	return status, c.do(ctx, http.MethodPost, DrainPath, raw, &status)
 }
 
-// DrainStatus asks how far a drain has come.
+// DrainStatus returns the progress of a drain.
 func (c *Client) DrainStatus(ctx context.Context, r DrainRequest) (DrainStatus, error) {
 	var status DrainStatus
 	query := url.Values{"node": {r.Node}, "server": {r.Server}}
 	return status, c.do(ctx, http.MethodGet, DrainPath+"?"+query.Encode(), nil, &status)
 }
 
-// OrderRollout orders a roll-out or its end; repeating it is safe.
+// OrderRollout starts or aborts a rollout; it is idempotent.
 func (c *Client) OrderRollout(ctx context.Context, r RolloutRequest) (source.Answer, error) {
 	var answer source.Answer
 	raw, err := json.Marshal(r)
 	if err != nil {
-		return answer, errors.Wrap(err, "encode roll-out")
+		return answer, errors.Wrap(err, "encode rollout")
 	}
 	return answer, c.do(ctx, http.MethodPost, RolloutsPath, raw, &answer)
 }
 
-// Rollout asks for the newest roll-out of a service.
+// Rollout returns the newest rollout of a service.
 func (c *Client) Rollout(ctx context.Context, name source.ServiceName) (source.Answer, error) {
 	var answer source.Answer
 	query := url.Values{meshParameter: {name.Mesh}, serviceParameter: {name.Service}}
 	return answer, c.do(ctx, http.MethodGet, RolloutsPath+"?"+query.Encode(), nil, &answer)
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Wrap(err, "build request")
@@ -104,29 +103,30 @@
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return lost(method, c.Addr, err)
+		return connectionError(method, c.Addr, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return lost(method, c.Addr, err)
+		return connectionError(method, c.Addr, err)
 	}
-	return decode(resp, raw, into)
+	return decode(resp, raw, dst)
 }
 
-// lost tells what a broken connection means: a failed dial changed nothing;
-// any other loss leaves it open whether a change was carried out.
-func lost(method, addr string, err error) error {
-	var op *net.OpError
-	dial := errors.As(err, &op) && op.Op == "dial"
-	if dial || method == http.MethodGet {
-		return result.Errorf(result.Unreachable, "no daemon answers at %s (%v)", addr, cause(err))
+// connectionError converts a transport error. After a failed dial nothing was changed; after
+// any other error of a request that changes something, it is unknown whether the change was
+// made.
+func connectionError(method, addr string, err error) error {
+	var opErr *net.OpError
+	dialFailed := errors.As(err, &opErr) && opErr.Op == "dial"
+	if dialFailed || method == http.MethodGet {
+		return result.Errorf(result.Unreachable, "no daemon answers at %s (%v)", addr, unwrapURLError(err))
 	}
-	return result.Errorf(result.CommitUnknown, "the connection to %s was lost before the answer came (%v)", addr, cause(err))
+	return result.Errorf(result.CommitUnknown, "the connection to %s was lost before the answer came (%v)", addr, unwrapURLError(err))
 }
 
-// cause leaves out the method and address that url.Error puts before it.
-func cause(err error) error {
+// unwrapURLError removes the method and URL that url.Error adds.
+func unwrapURLError(err error) error {
 	var wrapped *url.Error
 	if errors.As(err, &wrapped) {
 		return wrapped.Err
@@ -134,13 +134,13 @@
 	return err
 }
 
-func decode(resp *http.Response, raw []byte, into any) error {
+func decode(resp *http.Response, raw []byte, dst any) error {
 	number, err := strconv.Atoi(resp.Header.Get(result.HeaderResult))
 	if err != nil {
-		return result.Errorf(result.Unreachable, "what answers is no operator API of daisygate: %s without a %s header", resp.Status, result.HeaderResult)
+		return result.Errorf(result.Unreachable, "the response is not from a daisygate operator API: %s without a %s header", resp.Status, result.HeaderResult)
 	}
 	if resp.StatusCode < http.StatusBadRequest {
-		return errors.Wrap(json.Unmarshal(raw, into), "decode answer")
+		return errors.Wrap(json.Unmarshal(raw, dst), "decode answer")
 	}
 	var refusal struct {
 		Detail string          `json:"detail"`
@@ -150,7 +150,7 @@
 		return errors.Wrap(err, "decode refusal")
 	}
 	if len(refusal.Winner) > 0 {
-		_ = json.Unmarshal(raw, into)
+		_ = json.Unmarshal(raw, dst)
 	}
 	return result.Errorf(result.Code(number), "%s", refusal.Detail)
 }
--- a/internal/connection/operator/handler.go
+++ b/internal/connection/operator/handler.go
@@ -23,42 +23,44 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The admission of one daemon's operator API. Operators and their pipelines
-// are few; what is above this is a loop gone wild.
+// Limits of the operator API of one daemon. There are only a few operators and pipelines; more
+// requests than this come from a runaway loop.
 const (
-	// requestsPerSecond and requestBurst bound requests of any kind.
+	// requestsPerSecond and requestBurst limit requests of all kinds.
 	requestsPerSecond = 50
 	requestBurst      = 100
-	// submitsAtOnce bounds manifests held in memory at a time.
-	submitsAtOnce = 8
-	// orderBytes is the largest body of an order that is no manifest.
-	orderBytes = 4 << 10
-	// maxSeconds is above every time that an order may name, and fits a time.Duration.
-	maxSeconds = 1e9
-	retryAfter = time.Second
+	// maxConcurrentSubmits limits the manifests held in memory at the same time.
+	maxConcurrentSubmits = 8
+	// maxRequestBytes limits request bodies other than manifests.
+	maxRequestBytes = 4 << 10
+	// maxWithinSeconds is larger than any time limit that a rollout may have, and small enough
+	// for a time.Duration.
+	maxWithinSeconds = 1e9
+	retryAfter       = time.Second
 )
 
-// Config is fixed for the life of the API.
+// Config is the configuration of the API, which is fixed for its lifetime.
 type Config struct {
-	// Token is the bearer token; empty lets loopback addresses in without one.
+	// Token is the bearer token; if empty, only requests from loopback addresses are accepted,
+	// without a token.
 	Token string
-	// ManifestBytes is the largest manifest taken.
+	// ManifestBytes is the maximum size of a manifest.
 	ManifestBytes int64
-	// SubmitTimeout bounds the wait for a commit.
+	// SubmitTimeout limits the wait for a commit.
 	SubmitTimeout time.Duration
-	// BodyTimeout bounds the reading of one request's body. Default 10s.
+	// BodyTimeout limits the time for reading the body of one request. Default 10s.
 	BodyTimeout time.Duration
-	// Metrics answers MetricsPath; nil answers nothing there.
+	// Metrics serves MetricsPath; nil disables the path.
 	Metrics http.Handler
 }
 
 const defaultBodyTimeout = 10 * time.Second
 
 type api struct {
-	cfg     Config
-	backend Backend
-	limiter *rate.Limiter
-	submits chan struct{}
+	cfg         Config
+	backend     Backend
+	limiter     *rate.Limiter
+	submitSlots chan struct{}
 }
 
 // Handler returns the routes of the operator listener.
@@ -68,8 +70,8 @@
 	}
 	a := &api{
 		cfg: cfg, backend: backend,
-		limiter: rate.NewLimiter(requestsPerSecond, requestBurst),
-		submits: make(chan struct{}, submitsAtOnce),
+		limiter:     rate.NewLimiter(requestsPerSecond, requestBurst),
+		submitSlots: make(chan struct{}, maxConcurrentSubmits),
 	}
 	router := mux.NewRouter()
 	router.HandleFunc(ManifestsPath, a.submit).Methods(http.MethodPost)
@@ -89,11 +91,11 @@
 	return a.admit(router)
 }
 
-// admit lets in what has the token and comes no faster than the limit. The
-// token goes first: who has none cannot use up the operators' share.
+// admit rejects requests without the token and requests above the rate limit. The token is
+// checked first: requests without it must not use up the operators' rate limit.
 func (a *api) admit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !a.allowed(r) {
+		if !a.authorized(r) {
 			result.WriteHTTP(w, result.Errorf(result.Unauthorized, "want the header Authorization: Bearer, with the content of the daemon's operator.token_file"))
 			return
 		}
@@ -105,9 +107,9 @@
 	})
 }
 
-// allowed compares digests in constant time, so that neither the content nor
-// the length of the token shows in the time taken.
-func (a *api) allowed(r *http.Request) bool {
+// authorized reports whether a request has the token. It compares digests in constant time, so
+// that the response time reveals neither the content nor the length of the token.
+func (a *api) authorized(r *http.Request) bool {
 	if a.cfg.Token == "" {
 		from, err := netip.ParseAddrPort(r.RemoteAddr)
 		return err == nil && from.Addr().IsLoopback()
@@ -120,10 +122,10 @@
 
 func (a *api) submit(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.submits <- struct{}{}:
-		defer func() { <-a.submits }()
+	case a.submitSlots <- struct{}{}:
+		defer func() { <-a.submitSlots }()
 	default:
-		result.WriteHTTPRetry(w, result.Errorf(result.TooManyRequests, "at most %d manifests at a time", submitsAtOnce), retryAfter)
+		result.WriteHTTPRetry(w, result.Errorf(result.TooManyRequests, "at most %d manifests at a time", maxConcurrentSubmits), retryAfter)
 		return
 	}
 	raw, refused := a.readBody(w, r, a.cfg.ManifestBytes)
@@ -145,8 +147,9 @@
 	writeJSON(w, answer.Code, answer)
 }
 
-// readBody reads a body of at most limit bytes. The deadline is for the body
-// alone: one left standing would cancel the request's context while it waits.
+// readBody reads a body of at most limit bytes. The read deadline covers the body only: if it
+// remained set, it would cancel the context of the request while the request waits for the
+// backend.
 func (a *api) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *result.Error) {
 	conn := http.NewResponseController(w)
 	_ = conn.SetReadDeadline(time.Now().Add(a.cfg.BodyTimeout))
@@ -158,16 +161,16 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, result.Errorf(result.InputTooLarge, "at most %d bytes are taken", tooLarge.Limit)
+		return nil, result.Errorf(result.InputTooLarge, "want at most %d bytes", tooLarge.Limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, result.Errorf(result.BadRequest, "the body did not come within %s", a.cfg.BodyTimeout)
+		return nil, result.Errorf(result.BadRequest, "request body was not received within %s", a.cfg.BodyTimeout)
 	}
 	return nil, result.Errorf(result.BadRequest, "body: %v", err)
 }
 
 func (a *api) inForce(w http.ResponseWriter, r *http.Request) {
 	m, refused := a.backend.InForce(r.Context(), mux.Vars(r)["mesh"])
-	answer(w, m, refused)
+	writeResult(w, m, refused)
 }
 
 func (a *api) status(w http.ResponseWriter, _ *http.Request) {
@@ -208,31 +211,31 @@
 }
 
 func (a *api) drain(w http.ResponseWriter, r *http.Request) {
-	var order DrainRequest
-	if !a.decode(w, r, &order, `{"node": NAME, "server": "ip:port", "undo": BOOL}`) {
+	var request DrainRequest
+	if !a.decode(w, r, &request, `{"node": NAME, "server": "ip:port", "undo": BOOL}`) {
 		return
 	}
-	status, refused := a.backend.Drain(r.Context(), order)
-	answer(w, status, refused)
+	status, refused := a.backend.Drain(r.Context(), request)
+	writeResult(w, status, refused)
 }
 
 func (a *api) drainStatus(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	status, refused := a.backend.DrainStatus(r.Context(), DrainRequest{Node: query.Get("node"), Server: query.Get("server")})
-	answer(w, status, refused)
+	writeResult(w, status, refused)
 }
 
-// decode reads the JSON body of a small order; want shows what it looks like. With false the
-// answer was given.
-func (a *api) decode(w http.ResponseWriter, r *http.Request, order any, want string) bool {
-	raw, refused := a.readBody(w, r, orderBytes)
+// decode parses the small JSON body of a request into dst; want is the expected format, for the
+// error message. If it returns false, it has written the error response.
+func (a *api) decode(w http.ResponseWriter, r *http.Request, dst any, want string) bool {
+	raw, refused := a.readBody(w, r, maxRequestBytes)
 	if refused != nil {
 		result.WriteHTTP(w, refused)
 		return false
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(order); err != nil {
+	if err := decoder.Decode(dst); err != nil {
 		result.WriteHTTP(w, result.Errorf(result.BadRequest, "body: %v; want %s", err, want))
 		return false
 	}
@@ -240,31 +243,31 @@
 }
 
 func (a *api) orderRollout(w http.ResponseWriter, r *http.Request) {
-	var order RolloutRequest
-	if !a.decode(w, r, &order, `{"mesh": NAME, "service": NAME, "target": VERSION, "within_seconds": NUMBER}, or "abort": true for the last two`) {
+	var request RolloutRequest
+	if !a.decode(w, r, &request, `{"mesh": NAME, "service": NAME, "target": VERSION, "within_seconds": NUMBER}, or "abort": true for the last two`) {
 		return
 	}
-	within := time.Duration(min(order.WithinSeconds, maxSeconds) * float64(time.Second))
+	within := time.Duration(min(request.WithinSeconds, maxWithinSeconds) * float64(time.Second))
 	ctx, cancel := context.WithTimeout(r.Context(), a.cfg.SubmitTimeout)
 	defer cancel()
-	told, err := a.backend.OrderRollout(ctx, &source.RolloutOrder{ServiceName: order.Name(), Target: order.Target, Within: within, Abort: order.Abort})
+	response, err := a.backend.OrderRollout(ctx, &source.RolloutOrder{ServiceName: request.Name(), Target: request.Target, Within: within, Abort: request.Abort})
 	if err != nil {
-		told = source.Answer{Code: result.CommitUnknown, Detail: err.Error()}
+		response = source.Answer{Code: result.CommitUnknown, Detail: err.Error()}
 	}
-	writeJSON(w, told.Code, told)
+	writeJSON(w, response.Code, response)
 }
 
 func (a *api) rollout(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	name := source.ServiceName{Mesh: query.Get(meshParameter), Service: query.Get(serviceParameter)}
-	told, err := a.backend.NewestRollout(r.Context(), name)
+	response, err := a.backend.NewestRollout(r.Context(), name)
 	if err != nil {
-		told = source.Answer{Code: result.NoQuorum, Detail: err.Error()}
+		response = source.Answer{Code: result.NoQuorum, Detail: err.Error()}
 	}
-	writeJSON(w, told.Code, told)
+	writeJSON(w, response.Code, response)
 }
 
-func answer(w http.ResponseWriter, v any, refused *result.Error) {
+func writeResult(w http.ResponseWriter, v any, refused *result.Error) {
 	if refused != nil {
 		result.WriteHTTP(w, refused)
 		return
--- a/internal/connection/operator/handler_test.go
+++ b/internal/connection/operator/handler_test.go
@@ -22,25 +22,25 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-const goodManifest = "mesh: m\nversion: 1\nservices: []\nroutes: []\n"
+const validManifest = "mesh: m\nversion: 1\nservices: []\nroutes: []\n"
 
-// backend accepts everything; a Submit waits until held is closed.
+// backend accepts everything; Submit blocks until release is closed.
 type backend struct {
 	operator.Backend
-	held    chan struct{}
-	entered chan struct{}
+	release   chan struct{}
+	submitted chan struct{}
 }
 
 func (b *backend) NodeStatus() operator.NodeStatus { return operator.NodeStatus{Node: "n1"} }
 
 func (b *backend) Submit(context.Context, *manifest.Manifest) (source.Answer, error) {
-	b.entered <- struct{}{}
-	<-b.held
+	b.submitted <- struct{}{}
+	<-b.release
 	return source.Answer{Code: result.Accepted, Fleet: 1}, nil
 }
 
 func newBackend() *backend {
-	return &backend{held: make(chan struct{}), entered: make(chan struct{}, 100)}
+	return &backend{release: make(chan struct{}), submitted: make(chan struct{}, 100)}
 }
 
 type request struct{ method, path, token, from, body string }
@@ -66,18 +66,19 @@
 	return code
 }
 
-// TestEveryAnswerHasACode sends good and bad input to each path.
+// TestEveryAnswerHasACode sends valid and invalid requests to each path and checks the result
+// codes.
 func TestEveryAnswerHasACode(t *testing.T) {
 	c := qt.New(t)
 	b := newBackend()
-	close(b.held)
+	close(b.release)
 	h := operator.Handler(operator.Config{Token: "secret", ManifestBytes: 100, SubmitTimeout: time.Second}, b)
 	for _, row := range []struct {
 		request
 		want result.Code
 	}{
 		{request{http.MethodGet, "/v1/status", "secret", "", ""}, result.Answered},
-		{request{http.MethodPost, "/v1/manifests", "secret", "", goodManifest}, result.Accepted},
+		{request{http.MethodPost, "/v1/manifests", "secret", "", validManifest}, result.Accepted},
 		{request{http.MethodGet, "/v1/status", "", "", ""}, result.Unauthorized},
 		{request{http.MethodGet, "/v1/status", "", "127.0.0.1:9", ""}, result.Unauthorized},
 		{request{http.MethodGet, "/v1/status", "secre", "", ""}, result.Unauthorized},
@@ -96,7 +97,7 @@
 	}
 }
 
-// TestWithoutTokenOnlyLoopback lets nobody from elsewhere in.
+// TestWithoutTokenOnlyLoopback guards against remote access to an API without a token.
 func TestWithoutTokenOnlyLoopback(t *testing.T) {
 	c := qt.New(t)
 	h := operator.Handler(operator.Config{}, newBackend())
@@ -104,8 +105,8 @@
 	c.Assert(codeOf(c, request{http.MethodGet, "/v1/status", "", "192.0.2.1:9", ""}.send(h)), qt.Equals, result.Unauthorized)
 }
 
-// TestAdmission refuses a flood at once, and says when to come back; without
-// the token a flood uses up nothing.
+// TestAdmission checks that a flood of requests is rejected immediately with a Retry-After
+// header, and that requests without the token do not use up the rate limit.
 func TestAdmission(t *testing.T) {
 	c := qt.New(t)
 	b := newBackend()
@@ -116,16 +117,16 @@
 	done := make(chan result.Code, 8)
 	for range 8 {
 		go func() {
-			w := request{http.MethodPost, "/v1/manifests", "secret", "", goodManifest}.send(h)
+			w := request{http.MethodPost, "/v1/manifests", "secret", "", validManifest}.send(h)
 			number, _ := strconv.Atoi(w.Header().Get(result.HeaderResult))
 			done <- result.Code(number)
 		}()
-		<-b.entered
+		<-b.submitted
 	}
-	ninth := request{http.MethodPost, "/v1/manifests", "secret", "", goodManifest}.send(h)
+	ninth := request{http.MethodPost, "/v1/manifests", "secret", "", validManifest}.send(h)
 	c.Assert(codeOf(c, ninth), qt.Equals, result.TooManyRequests)
 	c.Assert(ninth.Header().Get("Retry-After"), qt.Equals, "1")
-	close(b.held)
+	close(b.release)
 	for range 8 {
 		c.Assert(<-done, qt.Equals, result.Accepted)
 	}
@@ -138,8 +139,8 @@
 	c.Assert(refused > 0, qt.IsTrue)
 }
 
-// TestStalledBody answers a request whose body does not come, and gives its
-// place to others.
+// TestStalledBody guards against a request whose body never arrives and which occupies one of
+// the places for manifests.
 func TestStalledBody(t *testing.T) {
 	c := qt.New(t)
 	h := operator.Handler(operator.Config{ManifestBytes: 100, SubmitTimeout: time.Second, BodyTimeout: time.Millisecond}, newBackend())
@@ -156,20 +157,21 @@
 	c.Assert(resp.Header.Get(result.HeaderResult), qt.Equals, strconv.Itoa(int(result.BadRequest)))
 }
 
-// TestListenerToken refuses a token file that would leave the door open.
+// TestListenerToken guards against token files and addresses that would leave the listener
+// without authentication.
 func TestListenerToken(t *testing.T) {
 	c := qt.New(t)
-	good, empty := filepath.Join(c.TempDir(), "good"), filepath.Join(c.TempDir(), "empty")
-	c.Assert(os.WriteFile(good, []byte(" secret\n"), 0o600), qt.IsNil)
+	valid, empty := filepath.Join(c.TempDir(), "good"), filepath.Join(c.TempDir(), "empty")
+	c.Assert(os.WriteFile(valid, []byte(" secret\n"), 0o600), qt.IsNil)
 	c.Assert(os.WriteFile(empty, []byte(" \n"), 0o600), qt.IsNil)
-	token, err := operator.ListenerToken("192.0.2.1:7400", good)
+	token, err := operator.ListenerToken("192.0.2.1:7400", valid)
 	c.Assert(err, qt.IsNil)
 	c.Assert(token, qt.Equals, "secret")
 	_, err = operator.ListenerToken("127.0.0.1:7400", "")
 	c.Assert(err, qt.IsNil)
 	_, err = operator.ListenerToken("127.0.0.1:7400", empty)
 	c.Assert(err, qt.ErrorMatches, ".*is empty: want one line with the token")
-	_, err = operator.ListenerToken("127.0.0.1:7400", good+"x")
+	_, err = operator.ListenerToken("127.0.0.1:7400", valid+"x")
 	c.Assert(err, qt.ErrorMatches, ".*no such file.*")
 	_, err = operator.ListenerToken("0.0.0.0:7400", "")
 	c.Assert(err, qt.ErrorMatches, ".*not a loopback address: set operator.token_file.*")
--- a/internal/connection/operator/operator.go
+++ b/internal/connection/operator/operator.go
@@ -1,7 +1,8 @@
-// Package operator is the operators' HTTP API and its client: manifests in;
-// status, history, the manifest in force and drains out.
+// Package operator provides the HTTP API for operators and its client. The API accepts
+// manifests, drains and rollouts, and returns the status, the history and the manifest in
+// force.
 //
-// Every answer carries a numbered result code (package result), successes too.
+// Every response carries a numbered result code (package result), successful ones too.
 package operator
 
 import (
@@ -13,75 +14,76 @@
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
-// The paths of the API.
+// Paths of the API.
 const (
 	ManifestsPath = "/v1/manifests"
 	StatusPath    = "/v1/status"
 	FleetPath     = "/v1/fleet"
 	HistoryPath   = "/v1/history"
-	// MetricsPath is where the metrics are, in the Prometheus text format.
+	// MetricsPath serves the metrics in the Prometheus text format.
 	MetricsPath = "/metrics"
 	DrainPath   = "/v1/drain"
-	// RolloutsPath takes orders for roll-outs and tells of the newest one of a service.
+	// RolloutsPath starts and aborts rollouts and returns the newest rollout of a service.
 	RolloutsPath = "/v1/rollouts"
 )
 
-// The parameters of requests.
+// Query parameters.
 const (
-	// allParameter asks FleetPath for every daemon of a large fleet, by "true".
+	// allParameter requests every daemon of a large fleet from FleetPath if it is "true".
 	allParameter = "all"
-	// meshParameter and limitParameter are those of a HistoryRequest.
+	// meshParameter and limitParameter are the parameters of a HistoryRequest.
 	meshParameter = "mesh"
-	// serviceParameter names the service of a roll-out.
+	// serviceParameter is the service of a rollout.
 	serviceParameter = "service"
 	limitParameter   = "limit"
 )
 
-// NodeStatus is what one daemon tells of itself.
+// NodeStatus is the status of one daemon.
 type NodeStatus struct {
 	Node   string         `json:"node"`
 	Domain string         `json:"domain"`
 	Ready  bool           `json:"ready"`
 	Mesh   mesh.Status    `json:"mesh"`
 	Source *source.Status `json:"source,omitempty"`
-	// ControlSent and ControlReceived are bytes since the start.
+	// ControlSent and ControlReceived count the bytes of control messages since the start of
+	// the daemon.
 	ControlSent     uint64 `json:"control_sent"`
 	ControlReceived uint64 `json:"control_received"`
-	// ControlMessages are the control messages sent since the start.
+	// ControlMessages counts the control messages sent since the start of the daemon.
 	ControlMessages uint64 `json:"control_messages"`
 }
 
-// Fleet is what is in force where, as one daemon sees it.
+// Fleet is the state of the versions in the fleet, as seen by one daemon.
 type Fleet struct {
-	// Daemons is the number of daemons known.
+	// Daemons is the number of known daemons.
 	Daemons int `json:"daemons"`
-	// InForce counts the daemons that have the leader's version, added up along
-	// the tree that versions spread by.
+	// InForce counts the daemons that have the leader's version in force. The counts are
+	// aggregated along the tree that distributes versions.
 	InForce mesh.InForce `json:"in_force"`
-	// Complete tells that Nodes lists every daemon, each asked just now. Else
-	// it lists the sources, the answering daemon and a few that lag.
+	// Complete is set if Nodes contains every daemon, each queried just now. Otherwise it
+	// contains the sources, the responding daemon and a few lagging daemons.
 	Complete bool        `json:"complete"`
 	Nodes    []FleetNode `json:"nodes"`
 }
 
-// FleetNode is one daemon as seen in the fleet.
+// FleetNode is the state of one daemon in the fleet.
 type FleetNode struct {
 	Node    string `json:"node"`
 	Domain  string `json:"domain"`
 	Version uint64 `json:"version"`
 	Ready   bool   `json:"ready"`
-	// Stale is set when the daemon misses the leader's heartbeat.
+	// Stale is set if the daemon receives no heartbeat of the leader.
 	Stale bool `json:"stale"`
 	// Links is the number of live links to other daemons.
 	Links   int           `json:"links"`
 	Servers []FleetServer `json:"servers,omitempty"`
 	// Source is set on a source.
 	Source *source.Status `json:"source,omitempty"`
-	// Error is why the daemon gave no version, or "".
+	// Error is the reason why the daemon returned no version, or "".
 	Error string `json:"error,omitempty"`
 }
 
-// FleetServer is one backend server as its daemon announces it.
+// FleetServer is one backend server as announced by its daemon.
 type FleetServer struct {
 	Mesh        string `json:"mesh"`
 	Service     string `json:"service"`
@@ -92,36 +94,36 @@
 	State string `json:"state"`
 }
 
-// InForce is the manifest of one mesh that the answering daemon has in force.
+// InForce is the manifest of one mesh that is in force on the responding daemon.
 type InForce struct {
 	Mesh string `json:"mesh"`
-	// Version is the operators' number.
+	// Version is the version number assigned by the operators.
 	Version uint64 `json:"version"`
-	// Fleet is the fleet version that brought the manifest.
+	// Fleet is the fleet version that contained the manifest.
 	Fleet uint64 `json:"fleet"`
-	// Node is the daemon that answered.
+	// Node is the daemon that responded.
 	Node string `json:"node"`
-	// Manifest is the manifest as YAML, with its defaults filled in.
+	// Manifest is the manifest as YAML, with defaults filled in.
 	Manifest string `json:"manifest"`
 }
 
-// DrainRequest names what is to be drained: the backend server at Server, or
-// all beside the daemon Node; both empty mean the answering daemon.
+// DrainRequest selects what to drain: the backend server at Server, or all backend servers of
+// the daemon Node. If both are empty, the daemon that receives the request is selected.
 type DrainRequest struct {
 	Node   string `json:"node,omitempty"`
 	Server string `json:"server,omitempty"`
-	// Undo ends the drain.
+	// Undo cancels the drain.
 	Undo bool `json:"undo,omitempty"`
 }
 
-// DrainStatus tells how far the drain of one daemon has come.
+// DrainStatus is the progress of the drain of one daemon.
 type DrainStatus struct {
 	Node string `json:"node"`
-	// Draining is set when the whole daemon is drained.
+	// Draining is set if the whole daemon is being drained.
 	Draining bool `json:"draining"`
-	// Idle is set when nothing that was asked for still runs.
+	// Idle is set if no requests are running on the selected servers.
 	Idle bool `json:"idle"`
-	// Running counts the requests in progress on Servers.
+	// Running is the number of requests in progress on Servers.
 	Running int           `json:"running"`
 	Servers []DrainServer `json:"servers,omitempty"`
 }
@@ -135,37 +137,37 @@
 	Running  int    `json:"running"`
 }
 
-// RolloutRequest orders a roll-out, or with Abort the end of the one that runs.
+// RolloutRequest starts a rollout, or aborts the running one if Abort is set.
 type RolloutRequest struct {
 	Mesh    string `json:"mesh"`
 	Service string `json:"service"`
-	// Target is the software version that is to serve.
+	// Target is the software version to roll out.
 	Target string `json:"target,omitempty"`
-	// WithinSeconds is the time in which that is to be decided.
+	// WithinSeconds is the time limit for the decision on the rollout.
 	WithinSeconds float64 `json:"within_seconds,omitempty"`
 	Abort         bool    `json:"abort,omitempty"`
 }
 
-// Name is the service that the request is about.
+// Name returns the service of the request.
 func (r *RolloutRequest) Name() source.ServiceName {
 	return source.ServiceName{Mesh: r.Mesh, Service: r.Service}
 }
 
-// Backend is what the API is built on: the daemon. The errors are refusals
-// that the operator is told as they are.
+// Backend is the daemon behind the API. Its errors are refusals that are returned to the
+// operator unchanged.
 type Backend interface {
 	Submit(ctx context.Context, m *manifest.Manifest) (source.Answer, error)
 	NodeStatus() NodeStatus
-	// Fleet asks every daemon of a small fleet; of a large one only with all.
+	// Fleet queries every daemon of a small fleet; of a large fleet only with all.
 	Fleet(ctx context.Context, all bool) Fleet
 	History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error)
 	InForce(ctx context.Context, mesh string) (InForce, *result.Error)
-	// OrderRollout hands an order for a roll-out in, and NewestRollout tells of the newest
-	// one of a service.
+	// OrderRollout starts or aborts a rollout; NewestRollout returns the newest rollout of a
+	// service.
 	OrderRollout(ctx context.Context, o *source.RolloutOrder) (source.Answer, error)
 	NewestRollout(ctx context.Context, name source.ServiceName) (source.Answer, error)
-	// Drain begins or undoes a drain.
+	// Drain starts or cancels a drain.
 	Drain(ctx context.Context, r DrainRequest) (DrainStatus, *result.Error)
-	// DrainStatus tells of the drain that r names, and changes nothing.
+	// DrainStatus returns the progress of the drain selected by r, without changing it.
 	DrainStatus(ctx context.Context, r DrainRequest) (DrainStatus, *result.Error)
 }
--- a/internal/connection/operator/token.go
+++ b/internal/connection/operator/token.go
@@ -8,9 +8,9 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// ReadToken reads a token file: its content without surrounding white space.
-// An empty path is no token; a file that cannot be read or is empty is an
-// error, never an open door.
+// ReadToken reads a token file and returns its content without surrounding white space. An
+// empty path means no token. A file that cannot be read or is empty is an error, so that a
+// misconfiguration never disables authentication.
 func ReadToken(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -26,12 +26,12 @@
 	return token, nil
 }
 
-// ListenerToken reads the token of an operator listener. A listener that
-// others than this instance can reach must have one.
+// ListenerToken reads the token of an operator listener. A token is required if the listener
+// can be reached from other instances.
 func ListenerToken(listen, path string) (string, error) {
 	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return "", result.Errorf(result.UsageError, "listen.operator: want an IP number and port such as 127.0.0.1:7400, got %q", listen)
+		return "", result.Errorf(result.UsageError, "listen.operator: want an IP address and port such as 127.0.0.1:7400, got %q", listen)
 	}
 	if path == "" && !addr.Addr().IsLoopback() {
 		return "", result.Errorf(result.UsageError, "listen.operator %s is not a loopback address: set operator.token_file, or listen on 127.0.0.1", listen)
