--- a/internal/connection/peer/accepted.go
+++ b/internal/connection/peer/accepted.go
@@ -5,18 +5,17 @@
 	"sync"
 )
 
-// accepted are the open control connections that other daemons dialled.
-// http.Server forgets a connection once it is hijacked, so its Shutdown leaves
-// them open.
-type accepted struct {
+// acceptedConns tracks the open control connections that other daemons dialled. http.Server no
+// longer tracks a connection once it is hijacked, so its Shutdown does not close them.
+type acceptedConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// closed is set by Close: from then on connections are closed at once.
+	// closed is set by close; connections added afterwards are rejected.
 	closed bool
 }
 
-// add takes a connection in, and reports whether it may be served.
-func (a *accepted) add(c net.Conn) bool {
+// add registers a connection and reports whether it may be served.
+func (a *acceptedConns) add(c net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -29,13 +28,13 @@
 	return true
 }
 
-func (a *accepted) remove(c net.Conn) {
+func (a *acceptedConns) remove(c net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.conns, c)
 }
 
-func (a *accepted) close() {
+func (a *acceptedConns) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
@@ -44,7 +43,7 @@
 	}
 }
 
-// CloseAccepted closes the control connections that other daemons dialled, and
-// lets in no more. It is called when nothing behind them answers any longer:
-// whoever calls on one learns at once that this daemon is gone.
+// CloseAccepted closes the control connections that other daemons dialled and rejects new ones.
+// It is called when the daemon no longer processes calls, so that callers detect immediately
+// that it is gone.
 func (t *Traffic) CloseAccepted() { t.accepted.close() }
--- a/internal/connection/peer/accepted_test.go
+++ b/internal/connection/peer/accepted_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestCloseAccepted ends a call that a stopped daemon would never answer, and
-// lets no later one in, while the process goes on.
+// TestCloseAccepted guards against callers that wait for a stopped daemon whose process is
+// still running: pending calls must fail, and no new calls may be accepted.
 func TestCloseAccepted(t *testing.T) {
 	c := qt.New(t)
 	echo := &Echo{release: make(chan struct{})}
--- a/internal/connection/peer/frame.go
+++ b/internal/connection/peer/frame.go
@@ -2,41 +2,40 @@
 
 import "github.com/cockroachdb/errors"
 
-// DefaultMaxMessage is the largest control message taken when Traffic sets
-// none, in bytes.
+// DefaultMaxMessage is the maximum size of a control message in bytes if Traffic sets none.
 const DefaultMaxMessage = 64 << 20
 
-// ErrMessageTooLarge is returned by the read of a connection on which a message
-// above the limit was announced. Nothing of the message is kept.
-var ErrMessageTooLarge = errors.New("control message above the limit")
+// ErrMessageTooLarge is returned when reading from a connection whose next message exceeds the
+// limit. Nothing of the message is buffered.
+var ErrMessageTooLarge = errors.New("control message exceeds the size limit")
 
-// frames follows the frames of a gob stream, so that one above the limit is
-// refused on its first bytes, before the decoder makes room for it. Each frame
-// is its length and as many bytes; the length is one byte up to 127, or else a
-// negated count and that many bytes, the highest first (package encoding/gob).
-type frames struct {
+// frameLimiter parses the frame lengths of a gob stream, so that a frame above the limit is
+// rejected at its first bytes, before the decoder allocates memory for it. Each frame consists
+// of its length and that many bytes. A length of up to 127 is a single byte; otherwise it is a
+// negated byte count followed by that many bytes in big-endian order (package encoding/gob).
+type frameLimiter struct {
 	max uint64
-	// payload is how many bytes of the frame are to come.
-	payload uint64
-	// digits is how many bytes of a long length are to come, and length is what
-	// came of it.
-	digits int
-	length uint64
+	// payloadLeft is the number of bytes of the frame still to be read.
+	payloadLeft uint64
+	// lengthBytesLeft is the number of bytes of a multi-byte length still to be read; length is
+	// the value read so far.
+	lengthBytesLeft int
+	length          uint64
 }
 
-// maxDigits is the most bytes of a length.
-const maxDigits = 8
+// maxLengthBytes is the maximum number of bytes of a length.
+const maxLengthBytes = 8
 
-// advance takes in bytes that were read.
-func (f *frames) advance(p []byte) error {
+// consume processes bytes that were read from the connection.
+func (f *frameLimiter) consume(p []byte) error {
 	for len(p) > 0 {
-		if f.payload > 0 {
-			n := min(f.payload, uint64(len(p)))
-			f.payload -= n
+		if f.payloadLeft > 0 {
+			n := min(f.payloadLeft, uint64(len(p)))
+			f.payloadLeft -= n
 			p = p[n:]
 			continue
 		}
-		if err := f.step(p[0]); err != nil {
+		if err := f.consumeLengthByte(p[0]); err != nil {
 			return err
 		}
 		p = p[1:]
@@ -44,27 +43,27 @@
 	return nil
 }
 
-// step takes in one byte of a length.
-func (f *frames) step(b byte) error {
+// consumeLengthByte processes one byte of a length.
+func (f *frameLimiter) consumeLengthByte(b byte) error {
 	switch {
-	case f.digits > 0:
+	case f.lengthBytesLeft > 0:
 		f.length = f.length<<8 | uint64(b)
-		f.digits--
+		f.lengthBytesLeft--
 	case b <= 0x7f:
 		f.length = uint64(b)
 	default:
 		f.length = 0
-		f.digits = -int(int8(b))
+		f.lengthBytesLeft = -int(int8(b))
 	}
-	if f.digits > maxDigits {
+	if f.lengthBytesLeft > maxLengthBytes {
 		return errors.Wrap(ErrMessageTooLarge, "malformed length")
 	}
-	if f.digits > 0 {
+	if f.lengthBytesLeft > 0 {
 		return nil
 	}
 	if f.length > f.max {
 		return errors.Wrapf(ErrMessageTooLarge, "%d bytes", f.length)
 	}
-	f.payload = f.length
+	f.payloadLeft = f.length
 	return nil
 }
--- a/internal/connection/peer/outbox.go
+++ b/internal/connection/peer/outbox.go
@@ -6,22 +6,21 @@
 	"time"
 )
 
-// Outbox sends items to other daemons in the background: one queue for each
-// address, what waits in it goes in one call. A full queue drops its oldest
-// items, and a failed call drops its batch: the senders' decisions repeat what
-// matters.
+// Outbox sends items to other daemons in the background. It has one queue per address, and
+// sends all items of a queue in one call. A full queue drops its oldest items, and a failed
+// call drops its batch: whoever queued the items repeats those that matter.
 type Outbox[T any] struct {
-	send    func(ctx context.Context, addr string, items []T) error
-	limit   int
-	timeout time.Duration
-	idle    time.Duration
+	send        func(ctx context.Context, addr string, items []T) error
+	limit       int
+	sendTimeout time.Duration
+	idleTimeout time.Duration
 
-	mu     sync.Mutex
-	closed bool
-	queues map[string]*queue[T]
-	wait   sync.WaitGroup
-	ctx    context.Context
-	cancel context.CancelFunc
+	mu      sync.Mutex
+	closed  bool
+	queues  map[string]*queue[T]
+	senders sync.WaitGroup
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
 type queue[T any] struct {
@@ -30,16 +29,16 @@
 }
 
 const (
-	outboxTimeout = time.Second
-	outboxIdle    = 5 * time.Second
+	outboxSendTimeout = time.Second
+	outboxIdleTimeout = 5 * time.Second
 )
 
-// NewOutbox returns an Outbox that delivers batches with send and keeps at most
-// limit items for each address.
+// NewOutbox returns an Outbox that sends batches with send and queues at most limit items per
+// address.
 func NewOutbox[T any](limit int, send func(ctx context.Context, addr string, items []T) error) *Outbox[T] {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Outbox[T]{
-		send: send, limit: limit, timeout: outboxTimeout, idle: outboxIdle,
+		send: send, limit: limit, sendTimeout: outboxSendTimeout, idleTimeout: outboxIdleTimeout,
 		queues: map[string]*queue[T]{}, ctx: ctx, cancel: cancel,
 	}
 }
@@ -55,7 +54,7 @@
 	if q == nil {
 		q = &queue[T]{wake: make(chan struct{}, 1)}
 		o.queues[addr] = q
-		o.wait.Go(func() { o.drain(addr, q) })
+		o.senders.Go(func() { o.runSender(addr, q) })
 	}
 	q.items = append(q.items, items...)
 	if extra := len(q.items) - o.limit; extra > 0 {
@@ -67,21 +66,22 @@
 	}
 }
 
-func (o *Outbox[T]) drain(addr string, q *queue[T]) {
+func (o *Outbox[T]) runSender(addr string, q *queue[T]) {
 	for {
-		batch := o.take(addr, q)
+		batch := o.nextBatch(addr, q)
 		if batch == nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(o.ctx, o.timeout)
+		ctx, cancel := context.WithTimeout(o.ctx, o.sendTimeout)
 		_ = o.send(ctx, addr, batch)
 		cancel()
 	}
 }
 
-// take waits for items; nil means the queue was idle and is gone.
-func (o *Outbox[T]) take(addr string, q *queue[T]) []T {
-	timer := time.NewTimer(o.idle)
+// nextBatch waits for items. It returns nil if the queue was removed because it was idle, or if
+// the outbox is closed.
+func (o *Outbox[T]) nextBatch(addr string, q *queue[T]) []T {
+	timer := time.NewTimer(o.idleTimeout)
 	defer timer.Stop()
 	for {
 		o.mu.Lock()
@@ -96,15 +96,15 @@
 		case <-o.ctx.Done():
 			return nil
 		case <-timer.C:
-			if o.retire(addr, q) {
+			if o.removeIfEmpty(addr, q) {
 				return nil
 			}
-			timer.Reset(o.idle)
+			timer.Reset(o.idleTimeout)
 		}
 	}
 }
 
-func (o *Outbox[T]) retire(addr string, q *queue[T]) bool {
+func (o *Outbox[T]) removeIfEmpty(addr string, q *queue[T]) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(q.items) > 0 {
@@ -114,11 +114,11 @@
 	return true
 }
 
-// Close drops what is queued and ends the background work.
+// Close drops the queued items and stops the background senders.
 func (o *Outbox[T]) Close() {
 	o.mu.Lock()
 	o.closed = true
 	o.mu.Unlock()
 	o.cancel()
-	o.wait.Wait()
+	o.senders.Wait()
 }
--- a/internal/connection/peer/peer.go
+++ b/internal/connection/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer carries what daemons say to one another: net/rpc for control,
-// and plain HTTP for calls that are passed on, both on the one peer listener.
+// Package peer implements the communication between daemons: net/rpc for control messages, and
+// plain HTTP for forwarded requests, both on a single peer listener.
 //
-// A control connection begins with an HTTP CONNECT to RPCPath and then speaks
-// net/rpc; every other request on the listener is a forwarded call.
+// A control connection starts with an HTTP CONNECT to RPCPath and then uses net/rpc. All other
+// requests on the listener are forwarded requests.
 package peer
 
 import (
@@ -23,26 +23,26 @@
 	"github.com/daisygate/daisygate/internal/result"
 )
 
-// RPCPath is where control connections are opened.
+// RPCPath is the path of the CONNECT request that opens a control connection.
 const RPCPath = "/daisygate/rpc"
 
 const dialTimeout = time.Second
 
-// ErrTimeout is returned when a call's answer did not come in time. The call
-// may have been carried out.
+// ErrTimeout is returned when the response to a call did not arrive in time. The call may have
+// been executed.
 var ErrTimeout = errors.New("peer call timed out")
 
-// Traffic counts the control bytes of this process, and bounds its messages.
+// Traffic counts the control traffic of this process and limits the size of its messages.
 type Traffic struct {
 	Sent, Received atomic.Uint64
-	// Messages counts what was sent: calls and answers. One of more than a few
-	// KiB counts as several.
+	// Messages counts the sent calls and responses. A message larger than a few KiB counts as
+	// several.
 	Messages atomic.Uint64
-	// MaxMessage is the largest control message taken, in bytes; 0 stands for
+	// MaxMessage is the maximum size of a received control message in bytes; 0 means
 	// DefaultMaxMessage.
 	MaxMessage int
 
-	accepted accepted
+	accepted acceptedConns
 }
 
 func (t *Traffic) maxMessage() uint64 {
@@ -52,7 +52,7 @@
 	return uint64(t.MaxMessage)
 }
 
-// Handler joins control and forwarded calls on one listener.
+// Handler serves control connections and forwarded requests on one listener.
 func Handler(control *rpc.Server, calls http.Handler, traffic *Traffic) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodConnect {
@@ -86,24 +86,23 @@
 	control.ServeConn(newControlConn(conn, traffic))
 }
 
-// controlConn counts the bytes of a connection and bounds the messages that
-// come on it.
+// controlConn counts the bytes of a connection and limits the size of received messages.
 type controlConn struct {
 	net.Conn
 	traffic *Traffic
-	frames  frames
+	limiter frameLimiter
 }
 
 func newControlConn(conn net.Conn, traffic *Traffic) *controlConn {
-	return &controlConn{Conn: conn, traffic: traffic, frames: frames{max: traffic.maxMessage()}}
+	return &controlConn{Conn: conn, traffic: traffic, limiter: frameLimiter{max: traffic.maxMessage()}}
 }
 
 // Read implements net.Conn.
 func (c *controlConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.Received.Add(uint64(n))
-	if bad := c.frames.advance(p[:n]); bad != nil {
-		return 0, bad
+	if limitErr := c.limiter.consume(p[:n]); limitErr != nil {
+		return 0, limitErr
 	}
 	return n, err
 }
@@ -116,88 +115,87 @@
 	return n, err
 }
 
-// Pool keeps one control connection for each address it was asked to call, and
-// closes those that are idle.
+// Pool keeps one control connection for each address that was called, and closes idle
+// connections.
 type Pool struct {
-	traffic *Traffic
-	idle    time.Duration
-	mu      sync.Mutex
-	clients map[string]*client
+	traffic     *Traffic
+	idleTimeout time.Duration
+	mu          sync.Mutex
+	clients     map[string]*client
 }
 
 // client is one control connection.
 type client struct {
 	*rpc.Client
-	// calls are under way; the client is idle while there are none.
-	calls int
-	// answered counts the answers that came.
-	answered uint64
-	// timer closes the client when it was idle for long.
-	timer *time.Timer
+	// inFlight is the number of calls in progress; the client is idle while it is 0.
+	inFlight int
+	// completed is the number of successful calls.
+	completed uint64
+	// idleTimer closes the client after idleTimeout.
+	idleTimer *time.Timer
 }
 
-// poolIdle is how long an unused control connection stays open. Links send each
-// second; what is idle for longer is mostly left over from joins, and at a seed
-// of a large fleet there are many of those at a time.
-const poolIdle = 10 * time.Second
+// poolIdleTimeout is how long an unused control connection remains open. Links send every
+// second; connections that are idle for longer are mostly left over from joins, and a seed of a
+// large fleet has many of those at the same time.
+const poolIdleTimeout = 10 * time.Second
 
-// NewPool returns an empty pool that counts into traffic.
+// NewPool returns an empty pool that counts its traffic in traffic.
 func NewPool(traffic *Traffic) *Pool {
-	return &Pool{traffic: traffic, idle: poolIdle, clients: map[string]*client{}}
+	return &Pool{traffic: traffic, idleTimeout: poolIdleTimeout, clients: map[string]*client{}}
 }
 
-// Call does one RPC at addr ("ip:port"). Errors other than rpc.ServerError
-// close the connection; the next call dials anew. A call that times out closes
-// it only if nothing else was answered meanwhile: then the connection is dead,
+// Call executes one RPC at addr ("ip:port"). Errors other than rpc.ServerError close the
+// connection; the next call dials a new one. A call that times out closes the connection only
+// if no other call succeeded in the meantime: in that case the connection is considered dead,
 // not the call slow.
 //
-// A call on a kept connection that turns out to have ended is made once more on
-// a new one: the other daemon was restarted meanwhile, and what is sent next,
-// such as the answer to its join, must not be lost. So a method may be carried
-// out twice; every control method is idempotent.
+// If a pooled connection turns out to be closed, the call is repeated once on a new connection:
+// the other daemon was restarted, and the next message, such as the response to its join, must
+// not be lost. A method may therefore be executed twice; all control methods are idempotent.
 func (p *Pool) Call(ctx context.Context, addr, method string, args, reply any) error {
-	kept, err := p.callOnce(ctx, addr, method, args, reply)
-	if kept && ended(err) && ctx.Err() == nil {
+	reused, err := p.callOnce(ctx, addr, method, args, reply)
+	if reused && isConnectionClosed(err) && ctx.Err() == nil {
 		_, err = p.callOnce(ctx, addr, method, args, reply)
 	}
 	return err
 }
 
-// ended reports whether err says that the connection is no more.
-func ended(err error) bool {
+// isConnectionClosed reports whether err means that the connection was closed.
+func isConnectionClosed(err error) bool {
 	return errors.Is(err, rpc.ErrShutdown) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// callOnce also reports whether the connection had answered calls before.
-func (p *Pool) callOnce(ctx context.Context, addr, method string, args, reply any) (kept bool, err error) {
+// callOnce also reports whether earlier calls on the connection had succeeded.
+func (p *Pool) callOnce(ctx context.Context, addr, method string, args, reply any) (reused bool, err error) {
 	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return false, err
 	}
-	before := p.answers(c)
-	kept = before > 0
-	// An answer that comes after the call was given up is still decoded, so it
-	// goes into a value of its own.
-	own := reflect.New(reflect.TypeOf(reply).Elem())
-	call := c.Go(method, args, own.Interface(), make(chan *rpc.Call, 1))
+	before := p.completedCalls(c)
+	reused = before > 0
+	// A response that arrives after the call timed out is still decoded, so it needs a separate
+	// value.
+	decoded := reflect.New(reflect.TypeOf(reply).Elem())
+	call := c.Go(method, args, decoded.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		if call.Error == nil {
-			reflect.ValueOf(reply).Elem().Set(own.Elem())
+			reflect.ValueOf(reply).Elem().Set(decoded.Elem())
 		}
 		p.release(addr, c, call.Error == nil)
-		return kept, p.settle(addr, c, call.Error)
+		return reused, p.closeOnFailure(addr, c, call.Error)
 	case <-ctx.Done():
 		p.release(addr, c, false)
-		if p.answers(c) == before {
+		if p.completedCalls(c) == before {
 			p.drop(addr, c)
 		}
-		return kept, errors.Wrapf(ErrTimeout, "%s at %s", method, addr)
+		return reused, errors.Wrapf(ErrTimeout, "%s at %s", method, addr)
 	}
 }
 
-func (p *Pool) settle(addr string, c *client, err error) error {
+func (p *Pool) closeOnFailure(addr string, c *client, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -208,16 +206,16 @@
 	return err
 }
 
-func (p *Pool) answers(c *client) uint64 {
+func (p *Pool) completedCalls(c *client) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.answered
+	return c.completed
 }
 
-// acquire returns the client of addr, marked as busy.
+// acquire returns the client for addr, marked as in use.
 func (p *Pool) acquire(ctx context.Context, addr string) (*client, error) {
 	p.mu.Lock()
-	c := p.use(addr)
+	c := p.acquireExisting(addr)
 	p.mu.Unlock()
 	if c != nil {
 		return c, nil
@@ -228,49 +226,48 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.use(addr); c != nil {
+	if c := p.acquireExisting(addr); c != nil {
 		return c, conn.Close()
 	}
-	c = &client{Client: rpc.NewClient(conn), calls: 1}
+	c = &client{Client: rpc.NewClient(conn), inFlight: 1}
 	p.clients[addr] = c
 	return c, nil
 }
 
-// use marks the client of addr as busy, if there is one; p.mu is held.
-func (p *Pool) use(addr string) *client {
+// acquireExisting marks the client for addr as in use, if there is one; the caller holds p.mu.
+func (p *Pool) acquireExisting(addr string) *client {
 	c := p.clients[addr]
 	if c == nil {
 		return nil
 	}
-	c.calls++
-	if c.timer != nil {
-		c.timer.Stop()
+	c.inFlight++
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 	return c
 }
 
-// release ends one use of a client and starts the time of idleness after the
-// last.
-func (p *Pool) release(addr string, c *client, answered bool) {
+// release ends one use of a client and starts the idle timer after the last one.
+func (p *Pool) release(addr string, c *client, success bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.calls--
-	if answered {
-		c.answered++
+	c.inFlight--
+	if success {
+		c.completed++
 	}
-	if c.calls > 0 || p.clients[addr] != c {
+	if c.inFlight > 0 || p.clients[addr] != c {
 		return
 	}
-	if c.timer == nil {
-		c.timer = time.AfterFunc(p.idle, func() { p.dropIdle(addr, c) })
+	if c.idleTimer == nil {
+		c.idleTimer = time.AfterFunc(p.idleTimeout, func() { p.dropIdle(addr, c) })
 		return
 	}
-	c.timer.Reset(p.idle)
+	c.idleTimer.Reset(p.idleTimeout)
 }
 
 func (p *Pool) dropIdle(addr string, c *client) {
 	p.mu.Lock()
-	idle := c.calls == 0
+	idle := c.inFlight == 0
 	p.mu.Unlock()
 	if idle {
 		p.drop(addr, c)
@@ -285,21 +282,21 @@
 	}
 	_ = conn.SetDeadline(time.Now().Add(dialTimeout))
 	if _, err := io.WriteString(conn, "CONNECT "+RPCPath+" HTTP/1.0\n\n"); err != nil {
-		return nil, errors.CombineErrors(errors.Wrap(err, "open control"), conn.Close())
+		return nil, errors.CombineErrors(errors.Wrap(err, "open control connection"), conn.Close())
 	}
 	reader := bufio.NewReader(conn)
 	resp, err := http.ReadResponse(reader, &http.Request{Method: http.MethodConnect})
 	if err != nil {
-		return nil, errors.CombineErrors(errors.Wrap(err, "open control"), conn.Close())
+		return nil, errors.CombineErrors(errors.Wrap(err, "open control connection"), conn.Close())
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.CombineErrors(errors.Newf("open control: %s", resp.Status), conn.Close())
+		return nil, errors.CombineErrors(errors.Newf("open control connection: %s", resp.Status), conn.Close())
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return newControlConn(conn, p.traffic), nil
 }
 
-// Reachable reports whether anyone listens at addr.
+// Reachable reports whether a TCP connection to addr can be opened.
 func Reachable(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -314,27 +311,27 @@
 	if p.clients[addr] == c {
 		delete(p.clients, addr)
 	}
-	if c.timer != nil {
-		c.timer.Stop()
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 	p.mu.Unlock()
 	_ = c.Close()
 }
 
-// Len is the number of open connections.
+// Len returns the number of open connections.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.clients)
 }
 
-// Close closes every connection.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, c := range p.clients {
-		if c.timer != nil {
-			c.timer.Stop()
+		if c.idleTimer != nil {
+			c.idleTimer.Stop()
 		}
 		_ = c.Close()
 		delete(p.clients, addr)
--- a/internal/connection/peer/pool_test.go
+++ b/internal/connection/peer/pool_test.go
@@ -17,13 +17,14 @@
 // Echo is a control service with a slow and a fast method.
 type Echo struct{ release chan struct{} }
 
-// Fast answers at once.
+// Fast responds immediately.
 func (e *Echo) Fast(in int, out *int) error { *out = in; return nil }
 
-// Slow answers when it is released.
+// Slow responds after release is closed.
 func (e *Echo) Slow(in int, out *int) error { <-e.release; *out = in; return nil }
 
-// TestPool lets one call time out beside others, and a connection fall idle.
+// TestPool checks that a call which times out does not close the connection while other calls
+// succeed, and that an idle connection is closed.
 func TestPool(t *testing.T) {
 	c := qt.New(t)
 	echo := &Echo{release: make(chan struct{})}
@@ -42,13 +43,13 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	slow := make(chan error)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	go func() {
-		close(begun)
+		close(started)
 		var out int
 		slow <- pool.Call(ctx, addr, "Echo.Slow", 1, &out)
 	}()
-	<-begun
+	<-started
 	for pool.Len() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -59,7 +60,7 @@
 	c.Assert(out, qt.Equals, 7)
 	cancel()
 	c.Assert(errors.Is(<-slow, ErrTimeout), qt.IsTrue)
-	pool.idle = time.Millisecond
+	pool.idleTimeout = time.Millisecond
 	c.Assert(pool.Call(context.Background(), addr, "Echo.Fast", 8, &out), qt.IsNil)
 	c.Assert(opened.Load(), qt.Equals, int32(1), qt.Commentf("the slow call must not close the connection"))
 	c.Assert(out, qt.Equals, 8)
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestFirstCallAfterRestart holds that the first call to a daemon that was
-// restarted is not lost on the connection to its predecessor.
+// TestFirstCallAfterRestart guards against losing the first call to a restarted daemon on the
+// closed connection to its previous process.
 func TestFirstCallAfterRestart(t *testing.T) {
 	c := qt.New(t)
 	control := rpc.NewServer()
@@ -94,8 +95,8 @@
 	c.Assert(out, qt.Equals, 8)
 }
 
-// TestLateAnswerIsDropped holds that the answer to a call that was given up is
-// not written into the reply, which its caller reads and uses again meanwhile.
+// TestLateAnswerIsDropped guards against a late response that is written into the reply of a
+// call that timed out, while the caller reads or reuses the reply.
 func TestLateAnswerIsDropped(t *testing.T) {
 	c := qt.New(t)
 	echo := &Echo{release: make(chan struct{})}
@@ -116,7 +117,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	// A call answered meanwhile keeps the connection, and with it the late answer.
+	// Calls that succeeded in the meantime keep the connection open, and so the late response arrives.
 	c.Assert(errors.Is(<-slow, ErrTimeout), qt.IsTrue)
 	close(echo.release)
 	for range 20 {
