--- a/internal/process/daemon/drain.go
+++ b/internal/process/daemon/drain.go
@@ -159,9 +159,9 @@
 		}
 	}
 	if r.Node != "" {
-		return "", "", result.Errorf(result.UnknownResource, "no daemon %s is known here", r.Node)
+		return "", "", result.Errorf(result.UnknownResource, "daemon %s is unknown", r.Node)
 	}
-	return "", "", result.Errorf(result.UnknownResource, "no backend server %s is known here", r.Server)
+	return "", "", result.Errorf(result.UnknownResource, "backend server %s is unknown", r.Server)
 }
 
 func (d *Daemon) hasServer(addr string) bool {
@@ -173,7 +173,7 @@
 
 func (d *Daemon) drainLocally(r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
 	if r.Server != "" && !d.hasServer(r.Server) {
-		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "no backend server %s beside daemon %s", r.Server, d.settings.Node)
+		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "backend server %s is not local to daemon %s", r.Server, d.settings.Node)
 	}
 	d.drains.mu.Lock()
 	d.drains.apply(r)
--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -227,7 +227,7 @@
 			},
 			Crash:  abortRequest,
 			Fails:  failEverySecond(s.Fails),
-			Answer: fmt.Sprintf("answered by service %s%s beside daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
+			Answer: fmt.Sprintf("answered by service %s%s next to daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
 		})
 		if err != nil {
 			return err
--- a/internal/process/storage/record.go
+++ b/internal/process/storage/record.go
@@ -35,8 +35,8 @@
 
 // ErrDamaged is returned by Open for a damaged record that is not a torn record at the
 // end.
-var ErrDamaged = errors.New("damaged record in the middle of the log: accepted state is missing here; " +
-	"move the folder away and start again, the other members repair this one")
+var ErrDamaged = errors.New("damaged record in the middle of the log: accepted entries may be missing; " +
+	"move the folder away and restart, so that the other members repair this one")
 
 // ErrTooLarge is returned by Save for a record that Open would reject.
 var ErrTooLarge = errors.New("record is too large")
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -95,7 +95,7 @@
 	switch {
 	case !known:
 		p := tokenPosition(entry.Key.GetToken())
-		d.addFault(Fault{Line: p.line, Column: p.column, Key: path, Message: "is no key here; " + Suggest(name, yamlKeys(structType))})
+		d.addFault(Fault{Line: p.line, Column: p.column, Key: path, Message: "unknown key; " + Suggest(name, yamlKeys(structType))})
 	case d.Has(path):
 		p := tokenPosition(entry.Key.GetToken())
 		d.addFault(Fault{Line: p.line, Column: p.column, Key: path, Message: fmt.Sprintf("is set twice, first in line %d; keep one", d.positions[path].line)})
--- a/internal/strictyaml/suggest.go
+++ b/internal/strictyaml/suggest.go
@@ -21,9 +21,9 @@
 	listed := slices.Clone(known)
 	slices.Sort(listed)
 	if len(listed) > maxListed {
-		return fmt.Sprintf("known are %s and %d more", strings.Join(listed[:maxListed], ", "), len(listed)-maxListed)
+		return fmt.Sprintf("known values are %s and %d more", strings.Join(listed[:maxListed], ", "), len(listed)-maxListed)
 	}
-	return "known are " + strings.Join(listed, ", ")
+	return "known values are " + strings.Join(listed, ", ")
 }
 
 // mostSimilar returns the known name with the smallest edit distance to got, ignoring
--- a/internal/trail/explain.go
+++ b/internal/trail/explain.go
@@ -63,9 +63,9 @@
 		code := parseCode(last.Text("result"))
 		fmt.Fprintf(&out, "\nEnd: %s, %s: %s\n", last.Text("outcome"), code, code.Meaning())
 	}
-	fmt.Fprintf(&out, "Attempts without an answer: %d; told of by the daemon beside the server: %d.\n", attempts, reportedAtServer)
+	fmt.Fprintf(&out, "Attempts without an answer: %d; reported by the server's daemon: %d.\n", attempts, reportedAtServer)
 	if attempts > reportedAtServer {
-		out.WriteString("For the others look into the logs of the daemons named by \"to\": without a line there the request did not arrive.\n")
+		out.WriteString("For the others, see the logs of the daemons in \"to\"; no line there means that the request did not arrive.\n")
 	}
 	return out.String()
 }
--- a/internal/version/manifest/check.go
+++ b/internal/version/manifest/check.go
@@ -41,7 +41,7 @@
 func (m *Manifest) check(d *strictyaml.Document) {
 	d.Name("mesh", m.Mesh)
 	if m.Version == 0 {
-		d.Add("version", "want 1 or more; it goes up with each change")
+		d.Add("version", "want 1 or more; it must increase with each change")
 	}
 	m.checkHosts(d)
 	d.Count("services", len(m.Services), MaxServices)
