--- a/internal/process/daemon/drain.go
+++ b/internal/process/daemon/drain.go
@@ -85,11 +85,11 @@
 		before, known := gone[s.Addr]
 		delete(gone, s.Addr)
 		if !known || before.State != s.State || before.Boot != s.Boot || before.Service != s.Service {
-			d.log.Info("backend server beside", "server", s.Addr, "service", s.Service, "boot", s.Boot, "state", s.State.String(), "slots", s.Slots)
+			d.log.Info("local backend server", "server", s.Addr, "service", s.Service, "boot", s.Boot, "state", s.State.String(), "slots", s.Slots)
 		}
 	}
 	for addr, s := range gone {
-		d.log.Info("backend server beside gone", "server", addr, "service", s.Service, "boot", s.Boot, "was", s.State.String())
+		d.log.Info("local backend server removed", "server", addr, "service", s.Service, "boot", s.Boot, "was", s.State.String())
 	}
 }
 
@@ -159,9 +159,9 @@
 		}
 	}
 	if r.Node != "" {
-		return "", "", result.Errorf(result.UnknownResource, "no daemon %s is known here", r.Node)
+		return "", "", result.Errorf(result.UnknownResource, "daemon %s is unknown", r.Node)
 	}
-	return "", "", result.Errorf(result.UnknownResource, "no backend server %s is known here", r.Server)
+	return "", "", result.Errorf(result.UnknownResource, "backend server %s is unknown", r.Server)
 }
 
 func (d *Daemon) hasServer(addr string) bool {
@@ -173,7 +173,7 @@
 
 func (d *Daemon) drainLocally(r operator.DrainRequest) (operator.DrainStatus, *result.Error) {
 	if r.Server != "" && !d.hasServer(r.Server) {
-		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "no backend server %s beside daemon %s", r.Server, d.settings.Node)
+		return operator.DrainStatus{}, result.Errorf(result.UnknownResource, "backend server %s is not local to daemon %s", r.Server, d.settings.Node)
 	}
 	d.drains.mu.Lock()
 	d.drains.apply(r)
