--- a/internal/connection/gateway/backend.go
+++ b/internal/connection/gateway/backend.go
@@ -81,7 +81,7 @@
 
 func (g *Gateway) newBackendPool(addr string) *upstream.Pool {
 	return upstream.NewPool(upstream.Config{
-		Addr: addr, IdleMax: 1 << 16, IdleTimeout: backendIdleTimeout, DialTimeout: dialTimeout, Linger: !g.cfg.Abrupt,
+		Addr: addr, IdleMax: 1 << 16, IdleTimeout: backendIdleTimeout, DialTimeout: dialTimeout, Linger: !g.cfg.CloseAbandoned,
 	})
 }
 
--- a/internal/connection/gateway/caller.go
+++ b/internal/connection/gateway/caller.go
@@ -25,7 +25,7 @@
 	// target is the service to which the request is routed.
 	target  *snapshot.Service
 	request *Request
-	caller  CallerTold
+	caller  CallerMetadata
 	// fixedDeadline is set if the caller specified the deadline, so that body transfer
 	// does not extend it.
 	fixedDeadline bool
@@ -74,7 +74,7 @@
 	x.observation.result.Code = r.Code
 	outcome := x.outcome(r.Code)
 	x.logRefusal(r, outcome)
-	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, Back: r.retryAfter})
+	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, RetryAfter: r.retryAfter})
 }
 
 // matchRoute finds the route, the target service and the deadline of the request.
--- a/internal/connection/gateway/dialect.go
+++ b/internal/connection/gateway/dialect.go
@@ -13,18 +13,18 @@
 // concurrent use.
 type Dialect interface {
 	// Caller parses the request metadata sent by a caller.
-	Caller(r *http.Request) CallerTold
+	Caller(r *http.Request) CallerMetadata
 	// Server returns the request headers for a backend server. They replace headers of
 	// the same names sent by the caller.
-	Server(t ServerTold) http.Header
+	Server(t ServerMetadata) http.Header
 	// Answer parses the response metadata sent by a backend server.
-	Answer(status int, h http.Header) AnswerTold
+	Answer(status int, h http.Header) ResponseMetadata
 	// Refuse writes a final response that does not come from a backend server.
 	Refuse(w http.ResponseWriter, r Refusal)
 }
 
-// CallerTold is the request metadata sent by a caller.
-type CallerTold struct {
+// CallerMetadata is the request metadata sent by a caller.
+type CallerMetadata struct {
 	// ID identifies this submission of the request; "" if the caller did not send it.
 	ID string
 	// Left is how long the caller will wait; 0 if it did not say.
@@ -33,8 +33,8 @@
 	Depth int
 }
 
-// ServerTold is the request metadata sent to a backend server.
-type ServerTold struct {
+// ServerMetadata is the request metadata sent to a backend server.
+type ServerMetadata struct {
 	// Left is the time until the response is no longer needed.
 	Left time.Duration
 	// Depth is the number of backend servers that the request has passed through,
@@ -46,8 +46,8 @@
 	Origin string
 }
 
-// AnswerTold is the response metadata sent by a backend server.
-type AnswerTold struct {
+// ResponseMetadata is the response metadata sent by a backend server.
+type ResponseMetadata struct {
 	// NotRun is set if the server states that it did not run the request.
 	NotRun bool
 	// Misdirected is set if the server states that it is not the expected boot.
@@ -62,8 +62,8 @@
 	*result.Error
 	// Outcome is what is known about the request.
 	Outcome result.Outcome
-	// Back is when to retry; 0 means unknown.
-	Back time.Duration
+	// RetryAfter is when to retry; 0 means unknown.
+	RetryAfter time.Duration
 }
 
 // defaultDialect is daisygate's own Dialect.
@@ -72,13 +72,13 @@
 // Caller implements Dialect. The remaining time and the depth are accepted only from the
 // same instance, where a backend server may pass on those of the request that it is
 // running.
-func (defaultDialect) Caller(r *http.Request) CallerTold {
+func (defaultDialect) Caller(r *http.Request) CallerMetadata {
 	depth, left := nestedCall(r)
-	return CallerTold{Depth: depth, Left: left}
+	return CallerMetadata{Depth: depth, Left: left}
 }
 
 // Server implements Dialect.
-func (defaultDialect) Server(t ServerTold) http.Header {
+func (defaultDialect) Server(t ServerMetadata) http.Header {
 	return http.Header{
 		HeaderTimeout: {formatMicroseconds(t.Left)},
 		HeaderDepth:   {strconv.Itoa(t.Depth)},
@@ -86,9 +86,9 @@
 }
 
 // Answer implements Dialect.
-func (defaultDialect) Answer(int, http.Header) AnswerTold { return AnswerTold{} }
+func (defaultDialect) Answer(int, http.Header) ResponseMetadata { return ResponseMetadata{} }
 
 // Refuse implements Dialect.
 func (defaultDialect) Refuse(w http.ResponseWriter, r Refusal) {
-	result.WriteHTTPOutcome(w, r.Error, r.Back, r.Outcome)
+	result.WriteHTTPOutcome(w, r.Error, r.RetryAfter, r.Outcome)
 }
--- a/internal/connection/gateway/dialect_test.go
+++ b/internal/connection/gateway/dialect_test.go
@@ -18,17 +18,17 @@
 // testDialect is a Dialect that uses X-* headers.
 type testDialect struct{ defaultDialect }
 
-func (testDialect) Caller(r *http.Request) CallerTold {
+func (testDialect) Caller(r *http.Request) CallerMetadata {
 	left, _ := time.ParseDuration(r.Header.Get("X-Left"))
-	return CallerTold{ID: r.Header.Get("X-Id"), Left: left}
+	return CallerMetadata{ID: r.Header.Get("X-Id"), Left: left}
 }
 
-func (testDialect) Server(t ServerTold) http.Header {
+func (testDialect) Server(t ServerMetadata) http.Header {
 	return http.Header{"X-Left": {t.Left.String()}, "X-Boot": {t.Boot}, "X-Origin": {t.Origin}}
 }
 
-func (testDialect) Answer(_ int, h http.Header) AnswerTold {
-	return AnswerTold{NotRun: h.Get("X-Not-Run") != "", ID: h.Get("X-Id")}
+func (testDialect) Answer(_ int, h http.Header) ResponseMetadata {
+	return ResponseMetadata{NotRun: h.Get("X-Not-Run") != "", ID: h.Get("X-Id")}
 }
 
 // useTestDialect sets the test dialect on every gateway of the fleet and enables response
@@ -37,7 +37,7 @@
 	for _, g := range f.gateways {
 		g.cfg.Dialect = testDialect{}
 		g.cfg.Origin = func() string { return "origin" }
-		g.responseBuffer.maxBytes, g.cfg.Abrupt = 64<<10, true
+		g.responseBuffer.maxBytes, g.cfg.CloseAbandoned = 64<<10, true
 	}
 }
 
--- a/internal/connection/gateway/gateway.go
+++ b/internal/connection/gateway/gateway.go
@@ -37,9 +37,9 @@
 	Region string
 	// QueuePerSlot is the length of the admission queue per slot.
 	QueuePerSlot int
-	// Calls is the maximum number of concurrent calls from callers; 0 means
+	// MaxConcurrentCalls is the maximum number of concurrent calls from callers; 0 means
 	// defaultMaxCalls.
-	Calls int
+	MaxConcurrentCalls int
 	// Directory returns the current directory.
 	Directory func() *directory.Directory
 	// Ready reports whether a confirmed version is active.
@@ -48,32 +48,32 @@
 	Observer Observer
 	Tracer   Tracer
 	// Claims and Suspects are optional.
-	Claims   Claims
-	Suspects CrashScreener
+	Claims        Claims
+	CrashScreener CrashScreener
 	// Dialect translates the headers of callers and backend servers; nil selects
 	// daisygate's own.
 	Dialect Dialect
 	// Origin returns the service of this instance's backend server, which is recorded as
 	// the origin of requests from local callers. nil means there is none.
 	Origin func() string
-	// Abrupt closes the connection of an abandoned request and frees its slot
+	// CloseAbandoned closes the connection of an abandoned request and frees its slot
 	// immediately. Otherwise the gateway waits for the backend server to close the
 	// connection.
-	Abrupt bool
+	CloseAbandoned bool
 	// FixedSlots keeps the limit at the slots that a backend server announces, regardless
 	// of its latency.
 	FixedSlots bool
-	// HoldBytes is the size of the largest response that is buffered completely before it
+	// MaxBufferedResponse is the size of the largest response that is buffered completely before it
 	// is passed on; 0 streams every response.
-	HoldBytes int64
+	MaxBufferedResponse int64
 	// LinkBytes is the capacity of the instance's link in each direction, in bytes per
 	// second. 0 means unknown: large bodies and responses are then not scheduled.
 	LinkBytes float64
-	// Refused is called with the address of a backend server that refused a connection.
-	Refused func(addr string)
-	// Misdirected is called with an address at which a different boot (start of a server)
+	// OnConnectionRefused is called with the address of a backend server that refused a connection.
+	OnConnectionRefused func(addr string)
+	// OnMisdirected is called with an address at which a different boot (start of a server)
 	// answered than the expected one; boot is "" if none was expected.
-	Misdirected func(addr, boot string)
+	OnMisdirected func(addr, boot string)
 	// Retry returns the limits on this daemon's retries.
 	Retry func() retry.Limits
 	// Rollout limits the exposure of software versions during a rollout.
@@ -132,21 +132,21 @@
 	if cfg.Origin == nil {
 		cfg.Origin = func() string { return "" }
 	}
-	if cfg.Refused == nil {
-		cfg.Refused = func(string) {}
+	if cfg.OnConnectionRefused == nil {
+		cfg.OnConnectionRefused = func(string) {}
 	}
-	if cfg.Misdirected == nil {
-		cfg.Misdirected = func(string, string) {}
+	if cfg.OnMisdirected == nil {
+		cfg.OnMisdirected = func(string, string) {}
 	}
 	if cfg.Retry == nil {
 		cfg.Retry = retry.Defaults
 	}
 	cfg.Rollout = cfg.Rollout.withDefaults()
-	if cfg.Calls == 0 {
-		cfg.Calls = defaultMaxCalls
+	if cfg.MaxConcurrentCalls == 0 {
+		cfg.MaxConcurrentCalls = defaultMaxCalls
 	}
 	return &Gateway{
-		cfg: cfg, log: log, requestLog: newRequestLog(cfg.RequestLog, cfg.RequestLines), link: newLink(cfg.LinkBytes), responseBuffer: &responseBuffer{maxBytes: cfg.HoldBytes}, started: time.Now(), peerPools: newPeerPools(), retryTracker: newRetryTracker(), shares: share.New(cfg.Calls),
+		cfg: cfg, log: log, requestLog: newRequestLog(cfg.RequestLog, cfg.RequestLines), link: newLink(cfg.LinkBytes), responseBuffer: &responseBuffer{maxBytes: cfg.MaxBufferedResponse}, started: time.Now(), peerPools: newPeerPools(), retryTracker: newRetryTracker(), shares: share.New(cfg.MaxConcurrentCalls),
 		backends: map[string]*backend{}, services: map[snapshot.ServiceKey]*service{},
 	}
 }
@@ -155,9 +155,9 @@
 	return balance.Place{Node: g.cfg.Self, Domain: g.cfg.Domain, Region: g.cfg.Region}
 }
 
-// Leave starts the planned shutdown: requests from other daemons are refused as not run,
+// BeginShutdown starts the planned shutdown: requests from other daemons are refused as not run,
 // and callers are asked to close their connections. Requests in progress continue.
-func (g *Gateway) Leave() { g.shuttingDown.Store(true) }
+func (g *Gateway) BeginShutdown() { g.shuttingDown.Store(true) }
 
 // Close closes idle connections and those of abandoned requests. It must be called after
 // the last request has finished.
--- a/internal/connection/gateway/gateway_test.go
+++ b/internal/connection/gateway/gateway_test.go
@@ -285,7 +285,7 @@
 	one, runsOne := rawServer(c, echo)
 	two, _ := rawServer(c, echo)
 	f.addServers(4, map[int]string{1: one, 2: two})
-	f.gateways[1].Leave()
+	f.gateways[1].BeginShutdown()
 	large := bytes.Repeat([]byte("12345678"), 1<<14)
 	for range 8 {
 		a := f.do(0, "POST", "/", struct{ io.Reader }{bytes.NewReader(large)})
--- a/internal/connection/gateway/hooks.go
+++ b/internal/connection/gateway/hooks.go
@@ -127,17 +127,17 @@
 func (noRun) End(RunStatus) bool { return false }
 
 func (g *Gateway) screen(r *Request) Screening {
-	if g.cfg.Suspects == nil {
+	if g.cfg.CrashScreener == nil {
 		return Screening{}
 	}
-	return g.cfg.Suspects.Screen(r)
+	return g.cfg.CrashScreener.Screen(r)
 }
 
 func (g *Gateway) beginRun(addr string, r *Request) Run {
-	if g.cfg.Suspects == nil {
+	if g.cfg.CrashScreener == nil {
 		return noRun{}
 	}
-	return g.cfg.Suspects.Begin(addr, r)
+	return g.cfg.CrashScreener.Begin(addr, r)
 }
 
 func (x *exchange) hasIdempotencyKey() bool {
--- a/internal/connection/gateway/observe.go
+++ b/internal/connection/gateway/observe.go
@@ -117,9 +117,9 @@
 	// Running is the number of slots in use, Queued the number of waiting requests, and
 	// Slots the limit.
 	Running, Queued, Slots int
-	// Requests counts the requests sent to the server since this daemon started; Repeats
+	// Requests counts the requests sent to the server since this daemon started; Retries
 	// counts those that had been sent to a server before.
-	Requests, Repeats uint64
+	Requests, Retries uint64
 }
 
 // Occupancy returns the occupancy of the backend servers of this instance, in no
@@ -131,7 +131,7 @@
 	for addr, b := range g.backends {
 		if !b.removed {
 			o := b.gate.occupancy(addr)
-			o.Requests, o.Repeats = b.requests.Load(), b.retries.Load()
+			o.Requests, o.Retries = b.requests.Load(), b.retries.Load()
 			list = append(list, o)
 		}
 	}
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -24,15 +24,15 @@
 	Peek(ctx context.Context, c claims.Command) once.Reply
 }
 
-// OnceConfig holds the settings of a Once; they do not change afterwards.
-type OnceConfig struct {
+// IdempotencyConfig holds the settings of a Once; they do not change afterwards.
+type IdempotencyConfig struct {
 	// Node and Incarnation identify this process.
 	Node        string
 	Incarnation uint64
 	Table       ClaimTable
-	// Lives reports whether the process that made a claim is still running, as far as
+	// IsAlive reports whether the process that made a claim is still running, as far as
 	// this daemon knows.
-	Lives func(once.Token) bool
+	IsAlive func(once.Token) bool
 }
 
 // The limits of a Once.
@@ -57,10 +57,10 @@
 	maxQueuedResponseBytes = 4 << 20
 )
 
-// Once makes requests with an idempotency key run at most once, using claims in a
+// IdempotencyManager makes requests with an idempotency key run at most once, using claims in a
 // replicated table. It implements Claims.
-type Once struct {
-	cfg OnceConfig
+type IdempotencyManager struct {
+	cfg IdempotencyConfig
 	log logr.Logger
 	seq atomic.Uint64
 	// granted maps *Request to a claims.Command with ID and Token, from Claim until
@@ -77,13 +77,13 @@
 	queuedBytes atomic.Int64
 }
 
-// NewOnce returns a Once. Run must be running for results to be recorded.
-func NewOnce(cfg OnceConfig, log logr.Logger) *Once {
-	return &Once{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
+// NewIdempotencyManager returns a Once. Run must be running for results to be recorded.
+func NewIdempotencyManager(cfg IdempotencyConfig, log logr.Logger) *IdempotencyManager {
+	return &IdempotencyManager{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
 }
 
 // Claim implements Claims.
-func (o *Once) Claim(ctx context.Context, r *Request) ClaimVerdict {
+func (o *IdempotencyManager) Claim(ctx context.Context, r *Request) ClaimVerdict {
 	key := r.HTTP.Header.Get(HeaderIdempotencyKey)
 	if len(key) > once.MaxKeyLength {
 		return ClaimVerdict{Refusal: result.Errorf(result.BadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, once.MaxKeyLength)}
@@ -98,7 +98,7 @@
 	if !ok {
 		return verdictOf(o.peek(ctx, c))
 	}
-	step := once.Open(reply, o.cfg.Lives)
+	step := once.Open(reply, o.cfg.IsAlive)
 	if step.Refusal == nil && step.Replay == nil {
 		o.granted.Store(r, claims.Command{ID: c.ID, Token: c.Token})
 	}
@@ -106,7 +106,7 @@
 }
 
 // sendClaim sends the claim. ok is false if no majority of sources answered.
-func (o *Once) sendClaim(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
+func (o *IdempotencyManager) sendClaim(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
 	if !o.allowClaim() {
 		return reply, false
 	}
@@ -123,7 +123,7 @@
 
 // allowClaim reports whether a claim may be sent. During an outage it lets one claim at a
 // time probe whether the outage is over.
-func (o *Once) allowClaim() bool {
+func (o *IdempotencyManager) allowClaim() bool {
 	now, until := time.Now().UnixNano(), o.outageUntil.Load()
 	if until == 0 {
 		return true
@@ -135,19 +135,19 @@
 // otherwise the request is not run, and nothing is known about earlier submissions. The
 // source may lag: the claim of another request may have been released since, and this
 // request may have run, so a mismatch proves nothing.
-func (o *Once) peek(ctx context.Context, c claims.Command) once.Step {
+func (o *IdempotencyManager) peek(ctx context.Context, c claims.Command) once.Step {
 	ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 	defer cancel()
 	reply := o.cfg.Table.Peek(ctx, c)
 	if reply.Verdict == once.NotHeld || reply.Verdict == once.Mismatch || reply.Owner == c.Token {
 		return once.Unavailable()
 	}
-	return once.Open(reply, o.cfg.Lives)
+	return once.Open(reply, o.cfg.IsAlive)
 }
 
 // beginOutage suspends claims for a while and releases a claim that may have been
 // committed.
-func (o *Once) beginOutage(c claims.Command, committed bool, err error) {
+func (o *IdempotencyManager) beginOutage(c claims.Command, committed bool, err error) {
 	o.log.V(1).Info("claim not recorded", "error", err.Error())
 	o.outageUntil.Store(time.Now().Add(outageBackoff).UnixNano())
 	if committed {
@@ -177,7 +177,7 @@
 
 // Settle implements Claims. The result is recorded in the background; until then a resent
 // request is told that the first run is in progress.
-func (o *Once) Settle(r *Request, s Settlement) {
+func (o *IdempotencyManager) Settle(r *Request, s Settlement) {
 	grantedCommand, granted := o.granted.LoadAndDelete(r)
 	if !granted {
 		return
@@ -205,7 +205,7 @@
 	return stored
 }
 
-func (o *Once) enqueue(c claims.Command) {
+func (o *IdempotencyManager) enqueue(c claims.Command) {
 	if size := sizeOf(&c); size > 0 && o.queuedBytes.Add(size) > maxQueuedResponseBytes {
 		o.queuedBytes.Add(-size)
 		c.Answer = &once.Answer{Code: c.Answer.Code, Dropped: true}
@@ -227,17 +227,17 @@
 	return int64(c.Answer.Size())
 }
 
-func (o *Once) dequeued(c *claims.Command) {
+func (o *IdempotencyManager) dequeued(c *claims.Command) {
 	o.queuedBytes.Add(-sizeOf(c))
 	o.queueLength.Add(-1)
 	o.pending.Done()
 }
 
-// Waiting returns the number of results that are not recorded yet.
-func (o *Once) Waiting() int { return int(o.queueLength.Load()) }
+// PendingResults returns the number of results that are not recorded yet.
+func (o *IdempotencyManager) PendingResults() int { return int(o.queueLength.Load()) }
 
 // Run records results until ctx is done.
-func (o *Once) Run(ctx context.Context) {
+func (o *IdempotencyManager) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range settleWorkers {
 		workers.Go(func() { o.runWorker(ctx) })
@@ -245,7 +245,7 @@
 	workers.Wait()
 }
 
-func (o *Once) runWorker(ctx context.Context) {
+func (o *IdempotencyManager) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -258,7 +258,7 @@
 }
 
 // record retries until the sources have answered.
-func (o *Once) record(ctx context.Context, c claims.Command) {
+func (o *IdempotencyManager) record(ctx context.Context, c claims.Command) {
 	for ctx.Err() == nil {
 		try, cancel := context.WithTimeout(ctx, settleTimeout)
 		reply, _, err := o.cfg.Table.Do(try, c)
@@ -277,7 +277,7 @@
 }
 
 // Flush waits until all results are recorded or ctx is done.
-func (o *Once) Flush(ctx context.Context) {
+func (o *IdempotencyManager) Flush(ctx context.Context) {
 	recorded := make(chan struct{})
 	go func() { o.pending.Wait(); close(recorded) }()
 	select {
--- a/internal/connection/gateway/once_test.go
+++ b/internal/connection/gateway/once_test.go
@@ -41,7 +41,7 @@
 // only if its key was looked up: otherwise an earlier submission may have run.
 func TestNotRunIsTrueOfTheRequest(t *testing.T) {
 	notReady := func(g *Gateway) { g.cfg.Ready = func() bool { return false } }
-	quarantined := func(g *Gateway) { g.cfg.Suspects = refusingScreener{} }
+	quarantined := func(g *Gateway) { g.cfg.CrashScreener = refusingScreener{} }
 	busy := func(g *Gateway) {
 		for g.acquireShare("m") {
 			continue
--- a/internal/connection/gateway/quarantine.go
+++ b/internal/connection/gateway/quarantine.go
@@ -49,10 +49,10 @@
 // of the crash, so that the next attempt affects no other request. It reports whether
 // another attempt is allowed.
 func (x *exchange) isolate(refused *refusal) bool {
-	if refused.Code != result.BackendCrashed || x.g.cfg.Suspects == nil {
+	if refused.Code != result.BackendCrashed || x.g.cfg.CrashScreener == nil {
 		return true
 	}
-	s := x.g.cfg.Suspects.ReportCrash(x.request)
+	s := x.g.cfg.CrashScreener.ReportCrash(x.request)
 	mayRetry := s.Refusal == nil && !x.request.Isolated
 	x.request.Isolated = true
 	x.call.isolate(s.Pin)
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -22,19 +22,19 @@
 type RolloutConfig struct {
 	// Budget limits the exposure of a version before it has been judged good.
 	Budget canary.Budget
-	// Touch reports whether the leader has been heard from recently; nil means always.
-	Touch func() bool
-	// Failed is called immediately when a version under rollout has failed a request. It
+	// LeaderReachable reports whether the leader has been heard from recently; nil means always.
+	LeaderReachable func() bool
+	// OnFailure is called immediately when a version under rollout has failed a request. It
 	// must not block; nil disables it.
-	Failed func()
+	OnFailure func()
 }
 
 func (c RolloutConfig) withDefaults() RolloutConfig {
-	if c.Touch == nil {
-		c.Touch = func() bool { return true }
+	if c.LeaderReachable == nil {
+		c.LeaderReachable = func() bool { return true }
 	}
-	if c.Failed == nil {
-		c.Failed = func() {}
+	if c.OnFailure == nil {
+		c.OnFailure = func() {}
 	}
 	return c
 }
@@ -124,7 +124,7 @@
 	}
 	s.mu.Unlock()
 	if bad > 0 {
-		x.g.cfg.Rollout.Failed()
+		x.g.cfg.Rollout.OnFailure()
 	}
 }
 
--- a/internal/connection/gateway/serve.go
+++ b/internal/connection/gateway/serve.go
@@ -118,7 +118,7 @@
 // sendToBackend sends a request that holds its slot to the backend server.
 func (g *Gateway) sendToBackend(ctx context.Context, b *backend, req *backendRequest) (*http.Response, *refusal) {
 	out := req.body.outgoing(req.request.HTTP)
-	out.Added = g.cfg.Dialect.Server(ServerTold{
+	out.Added = g.cfg.Dialect.Server(ServerMetadata{
 		Left: time.Until(req.deadline), Depth: req.depth + 1, Boot: req.boot, Origin: req.origin,
 	})
 	out.IdleAge = backendIdleTimeout
@@ -141,7 +141,7 @@
 	if failure != nil {
 		refused := classifyFailure(ctx, failure, result.BackendRefused)
 		if errors.Is(failure, syscall.ECONNREFUSED) {
-			g.cfg.Refused(req.addr)
+			g.cfg.OnConnectionRefused(req.addr)
 		}
 		if run.End(runStatusOf(refused.Code)) {
 			refused = newRefusal(result.BackendCrashed, failure.Error())
@@ -170,7 +170,7 @@
 		return newRefusal(result.AnswerLost, "the response belongs to another request")
 	case metadata.Misdirected:
 		_ = resp.Body.Close()
-		g.cfg.Misdirected(req.addr, req.boot)
+		g.cfg.OnMisdirected(req.addr, req.boot)
 		return newRefusal(result.WrongServer, "the server at "+req.addr+" is not boot "+req.boot)
 	case metadata.NotRun:
 		_ = resp.Body.Close()
--- a/internal/connection/gateway/service.go
+++ b/internal/connection/gateway/service.go
@@ -53,7 +53,7 @@
 	limits, inContact := g.cfg.Retry(), true
 	running := runningRollout(dir.Snapshot, target.Key)
 	if running != nil {
-		inContact = g.cfg.Rollout.Touch()
+		inContact = g.cfg.Rollout.LeaderReachable()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/connection/gateway/start_test.go
+++ b/internal/connection/gateway/start_test.go
@@ -47,7 +47,7 @@
 		"near":           {time.Now().Add(-maxStartupDuration + 200*time.Millisecond), nil, 100 * time.Millisecond, 700 * time.Millisecond},
 		"not near":       {time.Now().Add(-maxStartupDuration), nil, 0, 90 * time.Millisecond},
 		"too many wait":  {time.Now(), func(g *Gateway) { g.startupWaiters.Store(maxStartupWaiters) }, 0, 90 * time.Millisecond},
-		"planned to end": {time.Now(), (*Gateway).Leave, 0, 90 * time.Millisecond},
+		"planned to end": {time.Now(), (*Gateway).BeginShutdown, 0, 90 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/process/daemon/claims.go
+++ b/internal/process/daemon/claims.go
@@ -57,7 +57,7 @@
 // replicated claims table and, on a source, holds a replica of that table.
 type claimManager struct {
 	d        *Daemon
-	once     *gateway.Once
+	once     *gateway.IdempotencyManager
 	messages *peer.Outbox[replica.Message]
 	suspects *gateway.Quarantine
 	// group and table are nil if the daemon is not a source. Only the group's goroutine may
@@ -73,8 +73,8 @@
 
 func newClaimManager(d *Daemon, incarnation, seed uint64) (*claimManager, error) {
 	s := &claimManager{d: d, suspects: newQuarantine(d)}
-	s.once = gateway.NewOnce(gateway.OnceConfig{
-		Node: d.settings.Node, Incarnation: incarnation, Table: s, Lives: s.ownerAlive,
+	s.once = gateway.NewIdempotencyManager(gateway.IdempotencyConfig{
+		Node: d.settings.Node, Incarnation: incarnation, Table: s, IsAlive: s.ownerAlive,
 	}, d.log.WithName("once"))
 	s.messages = peer.NewOutbox(outboxLimit, func(ctx context.Context, addr string, messages []replica.Message) error {
 		return d.pool.Call(ctx, addr, claimsDeliver, messages, &Empty{})
@@ -328,7 +328,7 @@
 
 // metricsState returns the values of the metrics about claims and suspects.
 func (s *claimManager) metricsState() telemetry.OnceState {
-	state := telemetry.OnceState{Waiting: s.once.Waiting(), Suspects: s.suspects.Known()}
+	state := telemetry.OnceState{Waiting: s.once.PendingResults(), Suspects: s.suspects.Known()}
 	if s.group == nil {
 		return state
 	}
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -212,12 +212,12 @@
 	cfg := gateway.Config{
 		Self: d.settings.Node, Domain: d.settings.Domain, Region: d.settings.Region, QueuePerSlot: d.settings.Limits.QueuePerSlot,
 		Directory: d.mesh.Directory, Ready: d.Ready, Observer: d.metrics, Tracer: d.tracer(),
-		Abrupt: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, HoldBytes: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
-		Refused:     func(addr string) { d.servers.Refused(addr) },
-		Misdirected: d.handleBootMismatch,
-		Rollout:     d.rolloutConfig(),
-		LinkBytes:   float64(d.settings.Limits.LinkBytes),
-		RequestLog:  d.log.WithName(telemetry.RequestsLogger), RequestLines: d.settings.Log.RequestsPerSecond,
+		CloseAbandoned: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, MaxBufferedResponse: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
+		OnConnectionRefused: func(addr string) { d.servers.Refused(addr) },
+		OnMisdirected:       d.handleBootMismatch,
+		Rollout:             d.rolloutConfig(),
+		LinkBytes:           float64(d.settings.Limits.LinkBytes),
+		RequestLog:          d.log.WithName(telemetry.RequestsLogger), RequestLines: d.settings.Log.RequestsPerSecond,
 	}
 	if d.platform != nil {
 		cfg.Dialect = d.platform
@@ -226,7 +226,7 @@
 		cfg.Claims = d.claims.once
 	}
 	if d.settings.Servers.Quarantine {
-		cfg.Suspects = d.claims.suspects
+		cfg.CrashScreener = d.claims.suspects
 	}
 	d.gateway = gateway.New(cfg, d.log.WithName("gateway"))
 	d.servers = announce.NewServer(d.settings.Servers.Dial, d.setServers)
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -56,9 +56,9 @@
 // rolloutConfig returns the rollout configuration of the gateway.
 func (d *Daemon) rolloutConfig() gateway.RolloutConfig {
 	return gateway.RolloutConfig{
-		Budget: d.exposureBudget(),
-		Touch:  func() bool { return !d.mesh.Status().Stale },
-		Failed: func() {
+		Budget:          d.exposureBudget(),
+		LeaderReachable: func() bool { return !d.mesh.Status().Stale },
+		OnFailure: func() {
 			select {
 			case d.rolloutFailed <- struct{}{}:
 			default:
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -70,10 +70,10 @@
 		time.Sleep(d.settings.Stop.LeaveDelay)
 		d.mesh.Leave()
 		time.Sleep(leavePropagation)
-		d.gateway.Leave()
+		d.gateway.BeginShutdown()
 	} else {
 		d.mesh.Leave()
-		d.gateway.Leave()
+		d.gateway.BeginShutdown()
 		d.drainCallers(servers)
 		time.Sleep(d.settings.Stop.LeaveDelay)
 	}
--- a/internal/process/telemetry/state.go
+++ b/internal/process/telemetry/state.go
@@ -117,7 +117,7 @@
 	metrics.WriteGaugeUint64(w, "daisygate_backend_queue_length"+labels, uint64(b.Queued))
 	metrics.WriteGaugeFloat64(w, "daisygate_backend_load_per_slot"+labels, b.Load)
 	metrics.WriteCounterUint64(w, "daisygate_backend_requests_total"+labels, b.Requests)
-	metrics.WriteCounterUint64(w, "daisygate_backend_repeats_total"+labels, b.Repeats)
+	metrics.WriteCounterUint64(w, "daisygate_backend_repeats_total"+labels, b.Retries)
 }
 
 func writeBudget(w io.Writer, b gateway.ServiceBudget) {
