--- a/bench/fleet/shared.go
+++ b/bench/fleet/shared.go
@@ -61,7 +61,7 @@
 }
 
 func (s *Shared) start(i int) error {
-	d, err := daemon.NewOn(s.nodes[i], logr.Discard(), takeListeners(s.nodes[i].Listen))
+	d, err := daemon.NewWithListeners(s.nodes[i], logr.Discard(), takeListeners(s.nodes[i].Listen))
 	if err != nil {
 		return errors.Wrapf(err, "start %s", s.nodes[i].Node)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -80,7 +80,7 @@
 	if set.Limits.MemoryBytes > 0 {
 		debug.SetMemoryLimit(set.Limits.MemoryBytes)
 	}
-	d, err := daemon.NewAt(set, log, platform)
+	d, err := daemon.NewOnPlatform(set, log, platform)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 		switch {
 		case err != nil:
 			log.Error(err, "failed to reload settings; keeping the current ones")
-		case requested || !reflect.DeepEqual(set, last) || d.IntendsOther(platform):
+		case requested || !reflect.DeepEqual(set, last) || d.NamesOtherServer(platform):
 			last = set
 			d.Reload(set, platform)
 		}
--- a/internal/connection/announce/server.go
+++ b/internal/connection/announce/server.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// End removes a boot of a server that has ended. started is its start time, or 0 for any.
-func (s *Server) End(boot string, started int64) {
+// EndRun removes a boot of a server that has ended. started is its start time, or 0 for any.
+func (s *Server) EndRun(boot string, started int64) {
 	s.update(func() bool { return s.registry.End(boot, started) })
 }
 
--- a/internal/connection/gateway/requestlog.go
+++ b/internal/connection/gateway/requestlog.go
@@ -25,11 +25,11 @@
 	LogAttempt = "attempt failed"
 	// LogAnswered reports a response that was late or needed more than one attempt.
 	LogAnswered = "request answered"
-	// LogTurnedAway and LogServed are logged by the daemon on the backend server's
-	// instance: LogTurnedAway for a request without a response, LogServed for a late
+	// LogRejectedAtServer and LogServed are logged by the daemon on the backend server's
+	// instance: LogRejectedAtServer for a request without a response, LogServed for a late
 	// response.
-	LogTurnedAway = "request rejected at the server"
-	LogServed     = "request served late"
+	LogRejectedAtServer = "request rejected at the server"
+	LogServed           = "request served late"
 )
 
 // requestLog logs the decisions about requests that failed or were slow. If there are too
@@ -133,5 +133,5 @@
 		log.Info(LogServed, append(values, "status", resp.StatusCode)...)
 		return
 	}
-	log.Info(LogTurnedAway, append(values, "result", r.Code.String(), "detail", r.Detail, "caller_left", ctx.Err() != nil)...)
+	log.Info(LogRejectedAtServer, append(values, "result", r.Code.String(), "detail", r.Detail, "caller_left", ctx.Err() != nil)...)
 }
--- a/internal/connection/gateway/requestlog_test.go
+++ b/internal/connection/gateway/requestlog_test.go
@@ -69,9 +69,9 @@
 	c.Check(first.withMessage(LogAttempt)[0], qt.Contains, `"id"="q"`)
 	c.Check(first.withMessage(LogAttempt)[0], qt.Contains, `"to"="n1"`)
 	c.Check(first.withMessage(LogAnswered)[0], qt.Contains, `"attempts"=2`)
-	c.Assert(other.withMessage(LogTurnedAway), qt.HasLen, 1)
-	c.Check(other.withMessage(LogTurnedAway)[0], qt.Contains, `"id"="q"`)
-	c.Check(other.withMessage(LogTurnedAway)[0], qt.Contains, `"result"="230 AnswerLost"`)
+	c.Assert(other.withMessage(LogRejectedAtServer), qt.HasLen, 1)
+	c.Check(other.withMessage(LogRejectedAtServer)[0], qt.Contains, `"id"="q"`)
+	c.Check(other.withMessage(LogRejectedAtServer)[0], qt.Contains, `"result"="230 AnswerLost"`)
 }
 
 // TestRequestLinesAreBounded checks that a flood of refusals writes no more lines than
--- a/internal/process/daemon/beside.go
+++ b/internal/process/daemon/beside.go
@@ -96,12 +96,12 @@
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBodyBytes))
 	_ = resp.Body.Close()
-	return d.platform.Healthy(resp.StatusCode, resp.Header)
+	return d.platform.ParseHealth(resp.StatusCode, resp.Header)
 }
 
 // announceHealthy announces the server on its behalf, unless it has announced itself in the
 // meantime.
-func (d *Daemon) announceHealthy(server Beside, h Health, version string) {
+func (d *Daemon) announceHealthy(server LocalServer, h Health, version string) {
 	if d.announcedService.Load() != nil {
 		return
 	}
--- a/internal/process/daemon/committed.go
+++ b/internal/process/daemon/committed.go
@@ -46,7 +46,7 @@
 	defer ticker.Stop()
 	for turn := int(xxhash.Sum64String(d.settings.Node) >> 1); !d.mesh.Status().Confirmed; turn++ {
 		if version, err := d.queryCommittedInTurn(ctx, turn); err == nil {
-			d.mesh.SetCommitted(version)
+			d.mesh.SetCommittedVersion(version)
 			return
 		}
 		select {
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -106,7 +106,7 @@
 	// platform is nil if the daemon serves its native interface.
 	platform Platform
 	// configuredServer is the local backend server named in the settings of the platform.
-	configuredServer atomic.Pointer[Beside]
+	configuredServer atomic.Pointer[LocalServer]
 	// announcedService is the service of the announced local backend servers; nil if there are
 	// none or they belong to different services.
 	announcedService atomic.Pointer[string]
@@ -121,16 +121,18 @@
 }
 
 // New opens the listeners and the data directory. Call Run to serve.
-func New(set settings.Settings, log logr.Logger) (*Daemon, error) { return NewOn(set, log, nil) }
+func New(set settings.Settings, log logr.Logger) (*Daemon, error) {
+	return NewWithListeners(set, log, nil)
+}
 
-// NewAt is New with a platform adapter; platform may be nil.
-func NewAt(set settings.Settings, log logr.Logger, platform Platform) (*Daemon, error) {
+// NewOnPlatform is New with a platform adapter; platform may be nil.
+func NewOnPlatform(set settings.Settings, log logr.Logger, platform Platform) (*Daemon, error) {
 	return open(set, log, nil, platform)
 }
 
-// NewOn is New with listeners that are already open, by name. Missing ones are opened as the
+// NewWithListeners is New with listeners that are already open, by name. Missing ones are opened as the
 // settings say. The daemon takes ownership of the listeners.
-func NewOn(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
+func NewWithListeners(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
 	return open(set, log, listeners, nil)
 }
 
@@ -200,7 +202,7 @@
 		},
 		Probe:        peer.Reachable,
 		OnInstall:    d.traces.Install,
-		TickInterval: tickInterval, Lead: d.leadershipState,
+		TickInterval: tickInterval, Leadership: d.leadershipState,
 	}, d.items, d.log.WithName("mesh"))
 	if err != nil {
 		return err
--- a/internal/process/daemon/fleet_test.go
+++ b/internal/process/daemon/fleet_test.go
@@ -70,7 +70,7 @@
 	set.Stop.LeaveDelay = time.Millisecond
 	change(&set)
 	c.Assert(set.Validate(), qt.IsNil)
-	d, err := daemon.NewOn(set, logr.Discard(), map[string]net.Listener{"peer": peer})
+	d, err := daemon.NewWithListeners(set, logr.Discard(), map[string]net.Listener{"peer": peer})
 	c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/internal/process/daemon/lead.go
+++ b/internal/process/daemon/lead.go
@@ -47,12 +47,12 @@
 
 // state returns what package spread needs to know of this source's leadership, nil if it is
 // not the leader. If asked is set, state also starts a round unless one is running.
-func (l *leadership) state(now time.Time, asked bool) *spread.Lead {
+func (l *leadership) state(now time.Time, asked bool) *spread.Leadership {
 	term, leads := l.leads()
 	if !leads {
 		return nil
 	}
-	lead := &spread.Lead{Term: term, Version: l.version()}
+	lead := &spread.Leadership{Term: term, Version: l.version()}
 	if last := l.last.Load(); last != nil && last.term == term {
 		lead.Quorum = last.started
 	}
@@ -112,7 +112,7 @@
 }
 
 // leadershipState implements mesh.Config.Lead.
-func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Lead {
+func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Leadership {
 	if d.leadership == nil {
 		return nil
 	}
--- a/internal/process/daemon/platform.go
+++ b/internal/process/daemon/platform.go
@@ -19,15 +19,15 @@
 	// Health returns the handler of listen.health. notReady returns the reason why the daemon
 	// should get no requests, or "".
 	Health(notReady func() string) http.Handler
-	// Beside returns the local backend server named in the settings.
-	Beside() Beside
-	// Healthy parses the response of a backend server at its health path. It returns false if
+	// LocalServer returns the local backend server named in the settings.
+	LocalServer() LocalServer
+	// ParseHealth parses the response of a backend server at its health path. It returns false if
 	// the server does not accept requests.
-	Healthy(status int, h http.Header) (Health, bool)
+	ParseHealth(status int, h http.Header) (Health, bool)
 }
 
-// Beside is the local backend server as the settings name it.
-type Beside struct {
+// LocalServer is the local backend server as the settings name it.
+type LocalServer struct {
 	Mesh, Service string
 	// Addr is "ip:port"; "" if there is none.
 	Addr string
@@ -54,8 +54,8 @@
 	// Announce processes an announcement of a backend server. When it returns nil, the
 	// announcement is in force at this daemon.
 	Announce(a announce.Announcement) *result.Error
-	// End records that the run of a backend server with this boot and start time is over.
-	End(boot string, started int64)
+	// EndRun records that the run of a backend server with this boot and start time is over.
+	EndRun(boot string, started int64)
 }
 
 // platformControl implements Control.
@@ -66,17 +66,17 @@
 
 // setConfiguredServer stores the local backend server that the settings of the platform name.
 func (d *Daemon) setConfiguredServer(platform Platform) {
-	var server Beside
+	var server LocalServer
 	if platform != nil {
-		server = platform.Beside()
+		server = platform.LocalServer()
 	}
 	d.configuredServer.Store(&server)
 }
 
-// IntendsOther reports whether the settings of platform name a different backend server than
+// NamesOtherServer reports whether the settings of platform name a different backend server than
 // the settings in force.
-func (d *Daemon) IntendsOther(platform Platform) bool {
-	return platform != nil && platform.Beside() != *d.configuredServer.Load()
+func (d *Daemon) NamesOtherServer(platform Platform) bool {
+	return platform != nil && platform.LocalServer() != *d.configuredServer.Load()
 }
 
 // origin returns the service of the local backend server: the one that the settings name, else
--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -185,7 +185,7 @@
 			closeAll(listeners[i:])
 			return err
 		}
-		d, err := daemon.NewOn(set, cfg.Log, listeners[i])
+		d, err := daemon.NewWithListeners(set, cfg.Log, listeners[i])
 		if err != nil {
 			closeAll(listeners[i+1:])
 			return err
--- a/internal/process/membership/membership.go
+++ b/internal/process/membership/membership.go
@@ -76,12 +76,12 @@
 // Seek starts the search for a link to another daemon.
 func (c *Core) Seek() { c.view.Seek() }
 
-// Heard records that a message arrived over the link to a node. ReceiveView and
+// RecordReceived records that a message arrived over the link to a node. ReceiveView and
 // ReceivePresence do this themselves.
-func (c *Core) Heard(now time.Time, name string) { c.view.Heard(now, name) }
+func (c *Core) RecordReceived(now time.Time, name string) { c.view.RecordReceived(now, name) }
 
-// Sent records that a message was sent to a node, which makes a keep-alive unnecessary.
-func (c *Core) Sent(now time.Time, name string) { c.view.Sent(now, name) }
+// RecordSent records that a message was sent to a node, which makes a keep-alive unnecessary.
+func (c *Core) RecordSent(now time.Time, name string) { c.view.RecordSent(now, name) }
 
 // ReceiveView handles a message of package view. If a daemon that is not linked to this one
 // sends a keep-alive, it is informed that the link does not exist, provided that its
@@ -89,19 +89,19 @@
 func (c *Core) ReceiveView(now time.Time, from string, m view.Message) []Action {
 	if m.Type == view.MsgAlive && !c.view.Linked(from) {
 		if n, known := c.presence.Node(from); known {
-			return c.convertView(now, c.view.Stray(n))
+			return c.convertView(now, c.view.RejectUnlinked(n))
 		}
 		return nil
 	}
 	if m.Type == view.MsgAlive {
-		c.view.Heard(now, from)
+		c.view.RecordReceived(now, from)
 	}
 	return c.convertView(now, c.view.Receive(now, from, m))
 }
 
 // ReceivePresence handles a message of package presence.
 func (c *Core) ReceivePresence(now time.Time, from string, m presence.Message) []Action {
-	c.view.Heard(now, from)
+	c.view.RecordReceived(now, from)
 	return c.convertPresence(c.presence.Receive(now, from, m))
 }
 
@@ -141,9 +141,9 @@
 // addCandidates passes a known daemon to the view for each scope that lacks link
 // candidates.
 func (c *Core) addCandidates() {
-	c.view.SetFleet(c.presence.Len())
+	c.view.SetFleetSize(c.presence.Len())
 	for s := view.SameDomain; s <= view.OtherRegion; s++ {
-		if !c.view.Lacks(s) {
+		if !c.view.NeedsCandidates(s) {
 			continue
 		}
 		if n, ok := c.presence.Pick(s); ok {
--- a/internal/process/membership/sim_test.go
+++ b/internal/process/membership/sim_test.go
@@ -175,7 +175,7 @@
 		switch {
 		case a.Send != nil:
 			envelopes[a.Send.To.Addr] = append(envelopes[a.Send.To.Addr], item{View: a.Send.View, Presence: a.Send.Presence})
-			n.core.Sent(s.now, a.Send.To.Name)
+			n.core.RecordSent(s.now, a.Send.To.Name)
 		case a.Change != nil:
 			s.checkChange(n, a.Change)
 		case a.Probe != nil:
--- a/internal/process/mesh/members.go
+++ b/internal/process/mesh/members.go
@@ -161,7 +161,7 @@
 			delete(m.members.deferred, to)
 		}
 		m.sender.Put(to.Addr, items...)
-		m.members.core.Sent(now, to.Name)
+		m.members.core.RecordSent(now, to.Name)
 	}
 	clear(m.members.outgoing)
 }
--- a/internal/process/mesh/mesh.go
+++ b/internal/process/mesh/mesh.go
@@ -51,9 +51,9 @@
 	OnInstall func(version uint64)
 	// Probe is called in a separate goroutine.
 	Probe Prober
-	// Lead returns the state of this node's leadership of the sources, nil while it is not the
+	// Leadership returns the state of this node's leadership of the sources, nil while it is not the
 	// leader. If asked is set, a newer Quorum is needed.
-	Lead func(now time.Time, asked bool) *spread.Lead
+	Leadership func(now time.Time, asked bool) *spread.Leadership
 }
 
 // Status is the status of a daemon's control plane.
@@ -145,11 +145,11 @@
 	}
 }
 
-// SetCommitted records the version that a source reported as committed. The source must have
+// SetCommittedVersion records the version that a source reported as committed. The source must have
 // been asked after the start of this process.
-func (m *Mesh) SetCommitted(version uint64) {
+func (m *Mesh) SetCommittedVersion(version uint64) {
 	m.ops <- func(now time.Time) {
-		m.runSpreadActions(m.spread.Committed(version))
+		m.runSpreadActions(m.spread.SetCommittedVersion(version))
 		m.publishStatus(now)
 	}
 }
@@ -161,8 +161,8 @@
 
 func (m *Mesh) tick(now time.Time) {
 	m.runMemberActions(now, m.members.core.Tick(now))
-	m.spread.SetFleet(m.members.core.Presence().Len())
-	m.runSpreadActions(m.spread.Tick(now, m.cfg.Lead(now, m.spread.Asked())))
+	m.spread.SetFleetSize(m.members.core.Presence().Len())
+	m.runSpreadActions(m.spread.Tick(now, m.cfg.Leadership(now, m.spread.HasOpenQuery())))
 	m.publishStatus(now)
 }
 
@@ -172,7 +172,7 @@
 			m.runMemberActions(now, m.members.core.ReceiveView(now, e.From, *item.View))
 		}
 		if item.Spread != nil {
-			m.members.core.Heard(now, e.From)
+			m.members.core.RecordReceived(now, e.From)
 			m.runSpreadActions(m.spread.Receive(now, e.From, *item.Spread))
 		}
 		if item.Presence != nil {
--- a/internal/process/mesh/versions.go
+++ b/internal/process/mesh/versions.go
@@ -58,7 +58,7 @@
 	if m.unspread.Swap(state) != nil {
 		return
 	}
-	m.ops <- func(time.Time) { m.runSpreadActions(m.spread.Publish(m.unspread.Swap(nil))) }
+	m.ops <- func(time.Time) { m.runSpreadActions(m.spread.InstallFromSource(m.unspread.Swap(nil))) }
 }
 
 // runSpreadActions executes the actions of the spread core.
--- a/internal/process/spread/confirm.go
+++ b/internal/process/spread/confirm.go
@@ -64,8 +64,8 @@
 	return c.confirm.confirmedBy
 }
 
-// Asked reports whether a query of this node or of a child is unanswered.
-func (c *Core) Asked() bool {
+// HasOpenQuery reports whether a query of this node or of a child is unanswered.
+func (c *Core) HasOpenQuery() bool {
 	unanswered := func(l *link) bool { return l.childAsk.ask != 0 && l.childAsk.answer == nil }
 	return c.confirm.outstanding() != 0 || slices.ContainsFunc(c.links, unanswered)
 }
@@ -119,9 +119,9 @@
 	c.forwardAsks()
 }
 
-// Committed handles the committed version that the leader returned to a direct request sent
+// SetCommittedVersion handles the committed version that the leader returned to a direct request sent
 // after the start of this node.
-func (c *Core) Committed(version uint64) []Action {
+func (c *Core) SetCommittedVersion(version uint64) []Action {
 	c.setMinVersion(version, ByQuorum)
 	c.checkMinVersion()
 	return c.flush()
--- a/internal/process/spread/core.go
+++ b/internal/process/spread/core.go
@@ -91,7 +91,7 @@
 	fleetSize int
 	// lead is set while this node is the leader; parent is "" in that case. depth is the
 	// number of hops to the leader.
-	lead   *Lead
+	lead   *Leadership
 	parent string
 	depth  uint32
 
@@ -164,8 +164,8 @@
 	return c.flush()
 }
 
-// Publish installs a newer state that this node learned as a source.
-func (c *Core) Publish(state *fleet.State) []Action {
+// InstallFromSource installs a newer state that this node learned as a source.
+func (c *Core) InstallFromSource(state *fleet.State) []Action {
 	if state.Version > c.state.Version {
 		c.install(state, fleet.Diff(c.state, state))
 	}
@@ -194,7 +194,7 @@
 
 // Tick performs the work that is due at now. It must be called regularly. lead is nil unless
 // this node is the leader of the sources.
-func (c *Core) Tick(now time.Time, lead *Lead) []Action {
+func (c *Core) Tick(now time.Time, lead *Leadership) []Action {
 	c.now = now
 	if c.start.IsZero() {
 		c.start = now
--- a/internal/process/spread/driver_test.go
+++ b/internal/process/spread/driver_test.go
@@ -67,7 +67,7 @@
 	term       uint64
 	quorum     time.Duration
 	deposed    string
-	oldLead    spread.Lead
+	oldLead    spread.Leadership
 	deposedEnd time.Duration
 	fault      func(p packet) []time.Duration
 	trace      func(format string, args ...any)
@@ -143,7 +143,7 @@
 	}
 	clear(d.links)
 	if d.source && d.logVersion > 0 {
-		n.execute(d, d.core.Publish(n.log[d.logVersion]))
+		n.execute(d, d.core.InstallFromSource(n.log[d.logVersion]))
 	}
 }
 
@@ -178,7 +178,7 @@
 	for _, d := range n.sorted() {
 		if d.source && d.logVersion < len(n.log)-1 && n.reachable(d, n.nodes[n.lead]) {
 			d.logVersion = len(n.log) - 1
-			n.execute(d, d.core.Publish(n.log[d.logVersion]))
+			n.execute(d, d.core.InstallFromSource(n.log[d.logVersion]))
 		}
 	}
 }
@@ -219,11 +219,11 @@
 	}
 }
 
-func (n *network) leadership(d *node) spread.Lead {
-	return spread.Lead{Term: n.term, Version: uint64(d.logVersion), Quorum: epoch.Add(n.quorum)}
+func (n *network) leadership(d *node) spread.Leadership {
+	return spread.Leadership{Term: n.term, Version: uint64(d.logVersion), Quorum: epoch.Add(n.quorum)}
 }
 
-func (n *network) leadOf(d *node) *spread.Lead {
+func (n *network) leadOf(d *node) *spread.Leadership {
 	switch {
 	case d.name == n.lead && n.now-n.quorum < lease:
 		lead := n.leadership(d)
--- a/internal/process/spread/first_test.go
+++ b/internal/process/spread/first_test.go
@@ -35,6 +35,6 @@
 	c.Assert(err, qt.IsNil)
 
 	now = now.Add(10 * time.Millisecond)
-	deliver("a", cores["a"].Publish(state))
+	deliver("a", cores["a"].InstallFromSource(state))
 	c.Check(cores["b"].State().Version, qt.Equals, uint64(1))
 }
--- a/internal/process/spread/herd_test.go
+++ b/internal/process/spread/herd_test.go
@@ -16,7 +16,7 @@
 func delayAfterPowerLoss(c *qt.C, seed uint64) time.Duration {
 	n := newNetwork(seed, 96, 6, spread.Config{})
 	for _, d := range n.sorted() {
-		d.core.SetFleet(96)
+		d.core.SetFleetSize(96)
 	}
 	n.run(3 * time.Second)
 	c.Assert(n.accept(manyRoutes), qt.IsTrue)
--- a/internal/process/spread/seek.go
+++ b/internal/process/spread/seek.go
@@ -30,5 +30,5 @@
 	return time.Duration(c.rand.Int64N(int64(2*mean) + 1))
 }
 
-// SetFleet sets the number of known daemons.
-func (c *Core) SetFleet(daemons int) { c.fleetSize = daemons }
+// SetFleetSize sets the number of known daemons.
+func (c *Core) SetFleetSize(daemons int) { c.fleetSize = daemons }
--- a/internal/process/spread/seek_test.go
+++ b/internal/process/spread/seek_test.go
@@ -19,7 +19,7 @@
 		var cores []*Core
 		for i := range size {
 			core := New(Config{Self: fmt.Sprint(i), Seed: uint64(i)}, fleet.Empty())
-			core.SetFleet(size)
+			core.SetFleetSize(size)
 			cores = append(cores, core)
 		}
 		start := time.Unix(1000, 0)
--- a/internal/process/spread/tree.go
+++ b/internal/process/spread/tree.go
@@ -7,7 +7,7 @@
 
 // updateLead records whether this node is the leader and, if so, emits a heartbeat when one
 // is due.
-func (c *Core) updateLead(lead *Lead) {
+func (c *Core) updateLead(lead *Leadership) {
 	if lead == nil || lead.Term < c.heartbeat.Term {
 		if c.lead != nil {
 			c.lead = nil
--- a/internal/process/spread/types.go
+++ b/internal/process/spread/types.go
@@ -19,8 +19,8 @@
 	return h.Term > o.Term || (h.Term == o.Term && h.Seq > o.Seq)
 }
 
-// Lead describes the leadership of a source that is the leader.
-type Lead struct {
+// Leadership describes the leadership of a source that is the leader.
+type Leadership struct {
 	Term uint64
 	// Version is the newest committed fleet version.
 	Version uint64
--- a/internal/process/view/view.go
+++ b/internal/process/view/view.go
@@ -85,12 +85,14 @@
 	}
 }
 
-// Lacks reports whether a scope has room for more candidates.
-func (c *Core) Lacks(s Scope) bool { return len(c.candidates.byScope[s]) < maxCandidatesPerScope }
+// NeedsCandidates reports whether a scope has room for more candidates.
+func (c *Core) NeedsCandidates(s Scope) bool {
+	return len(c.candidates.byScope[s]) < maxCandidatesPerScope
+}
 
-// SetFleet sets the number of known daemons. In a large fleet seeds are asked less
+// SetFleetSize sets the number of known daemons. In a large fleet seeds are asked less
 // often.
-func (c *Core) SetFleet(n int) { c.fleetSize = max(n, 1) }
+func (c *Core) SetFleetSize(n int) { c.fleetSize = max(n, 1) }
 
 // SetSeeds replaces the seeds.
 func (c *Core) SetSeeds(seeds []string) { c.cfg.Seeds = seeds }
@@ -105,17 +107,17 @@
 	c.seedNext = time.Unix(0, 0)
 }
 
-// Heard records that a message of any kind was received from a node.
-func (c *Core) Heard(now time.Time, name string) {
+// RecordReceived records that a message of any kind was received from a node.
+func (c *Core) RecordReceived(now time.Time, name string) {
 	if l := c.links[name]; l != nil {
 		l.lastReceived = now
 		l.failing = false
 	}
 }
 
-// Sent records that a message was sent to a node, which makes a keep-alive
+// RecordSent records that a message was sent to a node, which makes a keep-alive
 // unnecessary.
-func (c *Core) Sent(now time.Time, name string) {
+func (c *Core) RecordSent(now time.Time, name string) {
 	if l := c.links[name]; l != nil {
 		l.lastSent = now
 	}
@@ -158,9 +160,9 @@
 	return true
 }
 
-// Stray replies to a node that considers this one a link although there is none: it
+// RejectUnlinked replies to a node that considers this one a link although there is none: it
 // tells the node to end the link.
-func (c *Core) Stray(from Node) []Action {
+func (c *Core) RejectUnlinked(from Node) []Action {
 	return []Action{c.send(from, Message{Type: MsgLeave})}
 }
 
--- a/internal/trail/explain.go
+++ b/internal/trail/explain.go
@@ -50,7 +50,7 @@
 			end, last = l.Message, l
 		case gateway.LogAttempt:
 			attempts++
-		case gateway.LogTurnedAway:
+		case gateway.LogRejectedAtServer:
 			reportedAtServer++
 		}
 	}
