--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -170,7 +170,7 @@
 	return result.Errorf(coded.Code, "%s", text)
 }
 
-func formatWinner(w *source.Accepted) string {
+func formatWinner(w *source.HistoryEntry) string {
 	return fmt.Sprintf("mesh %s version %d, content %016x, fleet version %d, accepted at %s",
 		w.Mesh, w.Version, w.Content, w.Fleet, w.Time.Format(time.RFC3339))
 }
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	for _, version := range []uint64{o.from, o.to} {
-		matches := func(a source.Accepted) bool { return a.Mesh == o.mesh && a.Version == version }
+		matches := func(a source.HistoryEntry) bool { return a.Mesh == o.mesh && a.Version == version }
 		if !slices.ContainsFunc(history, matches) {
 			return nil, result.Errorf(result.UnknownResource, "version %d of mesh %s is not in the history of accepted manifests", version, o.mesh)
 		}
--- a/internal/cli/history.go
+++ b/internal/cli/history.go
@@ -31,7 +31,7 @@
 				return nil, nil, err
 			}
 			if list == nil {
-				list = []source.Accepted{}
+				list = []source.HistoryEntry{}
 			}
 			slices.Reverse(list)
 			return list, func(w io.Writer) { printHistory(w, list) }, nil
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-func printHistory(w io.Writer, list []source.Accepted) {
+func printHistory(w io.Writer, list []source.HistoryEntry) {
 	var rows []string
 	for _, a := range list {
 		rows = append(rows, fmt.Sprintf("%d\t%s\t%d\t%016x\t%s", a.Fleet, a.Mesh, a.Version, a.Content, a.Time.Format(time.RFC3339)))
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -81,7 +81,7 @@
 	cmd.Flags().StringVar(&order.Mesh, "mesh", "", "mesh of the service")
 	cmd.Flags().StringVar(&order.Service, "service", "", "the service")
 	cmd.Flags().StringVar(&order.Target, "version", "", "target software version, as its backend servers announce it")
-	cmd.Flags().DurationVar(&within, "within", 5*time.Minute, fmt.Sprintf("time limit for the decision, %s to %s", source.MinWithin, source.MaxWithin))
+	cmd.Flags().DurationVar(&within, "within", 5*time.Minute, fmt.Sprintf("time limit for the decision, %s to %s", source.MinRolloutDuration, source.MaxRolloutDuration))
 	cmd.Flags().BoolVar(&wait, "wait", false, "wait for the decision; the exit code reports a version that was rolled back")
 	for _, name := range []string{"mesh", "service", "version"} {
 		_ = cmd.MarkFlagRequired(name)
--- a/internal/connection/operator/client.go
+++ b/internal/connection/operator/client.go
@@ -47,8 +47,8 @@
 }
 
 // History returns the newest accepted manifests, the oldest of them first.
-func (c *Client) History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
-	var history []source.Accepted
+func (c *Client) History(ctx context.Context, r source.HistoryRequest) ([]source.HistoryEntry, error) {
+	var history []source.HistoryEntry
 	query := url.Values{meshParameter: {r.Mesh}, limitParameter: {strconv.Itoa(r.Limit)}}
 	return history, c.do(ctx, http.MethodGet, HistoryPath+"?"+query.Encode(), nil, &history)
 }
--- a/internal/connection/operator/operator.go
+++ b/internal/connection/operator/operator.go
@@ -160,7 +160,7 @@
 	NodeStatus() NodeStatus
 	// Fleet queries every daemon of a small fleet; of a large fleet only with all.
 	Fleet(ctx context.Context, all bool) Fleet
-	History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error)
+	History(ctx context.Context, r source.HistoryRequest) ([]source.HistoryEntry, error)
 	InForce(ctx context.Context, mesh string) (InForce, *result.Error)
 	// OrderRollout starts or aborts a rollout; NewestRollout returns the newest rollout of a
 	// service.
--- a/internal/process/claims/bench_test.go
+++ b/internal/process/claims/bench_test.go
@@ -30,7 +30,7 @@
 	if s.groups[to] == nil {
 		return quorum.Reply{}, errors.New("no such source")
 	}
-	return s.groups[to].Serve(ctx, data), nil
+	return s.groups[to].ServeProposal(ctx, data), nil
 }
 
 func startSources(b *testing.B, ctx context.Context, held int) *quorum.Group[once.Reply] {
@@ -51,7 +51,7 @@
 	}
 	for {
 		for _, g := range s.groups {
-			if g.Leads() {
+			if g.IsLeader() {
 				return g
 			}
 		}
@@ -65,9 +65,9 @@
 	t := claims.New(claims.DefaultLimits())
 	for i := range held {
 		c := command(claims.KindClaim, uint64(i)|1<<40)
-		t.Do(&c)
+		t.Execute(&c)
 		c.Kind, c.Answer = claims.KindAnswer, answer200
-		t.Do(&c)
+		t.Execute(&c)
 	}
 	return t
 }
--- a/internal/process/claims/command.go
+++ b/internal/process/claims/command.go
@@ -47,9 +47,9 @@
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		return once.Reply{Verdict: once.NotHeld}, nil
 	}
-	return t.Do(&c), nil
+	return t.Execute(&c), nil
 }
 
-// Applied implements quorum.StateMachine. It does nothing, because the table does not
+// BatchApplied implements quorum.StateMachine. It does nothing, because the table does not
 // publish its state.
-func (t *Table) Applied() {}
+func (t *Table) BatchApplied() {}
--- a/internal/process/claims/fuzz_test.go
+++ b/internal/process/claims/fuzz_test.go
@@ -13,8 +13,8 @@
 		t := New(DefaultLimits())
 		id := once.ID{}
 		id[0] = 1
-		t.Do(&Command{Kind: KindClaim, ID: id, Fingerprint: 5, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Now: 1})
-		t.Do(&Command{Kind: KindAnswer, ID: id, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Answer: &once.Answer{Status: 200}, Now: 2})
+		t.Execute(&Command{Kind: KindClaim, ID: id, Fingerprint: 5, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Now: 1})
+		t.Execute(&Command{Kind: KindAnswer, ID: id, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Answer: &once.Answer{Status: 200}, Now: 2})
 		return t
 	}
 	raw, err := filledTable().Snapshot()
--- a/internal/process/claims/sources_test.go
+++ b/internal/process/claims/sources_test.go
@@ -117,7 +117,7 @@
 		for _, id := range members {
 			if n := s.nodes[id]; n != nil {
 				n.Tick()
-				n.Settle()
+				n.ProcessReady()
 			}
 		}
 		network := s.network
@@ -125,7 +125,7 @@
 		for _, p := range network {
 			if n := s.nodes[p.to]; n != nil {
 				n.Step(p.messages)
-				n.Settle()
+				n.ProcessReady()
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 			t.Fatal(err)
 		}
 		n.Propose(raw, answer)
-		n.Settle()
+		n.ProcessReady()
 	}
 }
 
--- a/internal/process/claims/table.go
+++ b/internal/process/claims/table.go
@@ -105,8 +105,8 @@
 // AnswerBytes returns the total size of the stored answers.
 func (t *Table) AnswerBytes() int { return t.answerBytes }
 
-// Do executes one command.
-func (t *Table) Do(c *Command) once.Reply {
+// Execute executes one command.
+func (t *Table) Execute(c *Command) once.Reply {
 	t.now = max(t.now, c.Now)
 	t.expire()
 	switch c.Kind {
--- a/internal/process/claims/table_test.go
+++ b/internal/process/claims/table_test.go
@@ -59,7 +59,7 @@
 	case "release":
 		c.Kind = claims.KindRelease
 	}
-	return fmt.Sprintf("%s -> %s\n", line, describe(table.Do(&c)))
+	return fmt.Sprintf("%s -> %s\n", line, describe(table.Execute(&c)))
 }
 
 func describe(r once.Reply) string {
--- a/internal/process/daemon/claims.go
+++ b/internal/process/daemon/claims.go
@@ -290,7 +290,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimCommandTimeout)
 	defer cancel()
-	*reply = s.d.claims.group.Serve(ctx, data)
+	*reply = s.d.claims.group.ServeProposal(ctx, data)
 	return nil
 }
 
--- a/internal/process/daemon/control.go
+++ b/internal/process/daemon/control.go
@@ -70,7 +70,7 @@
 // Propose commits a command that another source forwarded.
 func (s *sourceService) Propose(data []byte, reply *quorum.Reply) error {
 	return s.handle(submitTimeout, func(ctx context.Context) error {
-		*reply = s.d.source.Serve(ctx, data)
+		*reply = s.d.source.ServeProposal(ctx, data)
 		return nil
 	})
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -242,8 +242,8 @@
 	d.rollouts = newRolloutDriver(d)
 	d.source, err = source.Open(quorum.Config{
 		ID: d.settings.Node, Members: d.configuredSources(), DataDir: filepath.Join(d.settings.DataDir, "source"),
-		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, FirstTicks: sourceFirstTicks, Seed: seed, Idempotent: true,
-		Joins: !d.mayBootstrap(), ReplaceTicks: d.replaceTicks(), Voters: d.settings.Source.Voters,
+		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, FirstElectionTicks: sourceFirstTicks, Seed: seed, Idempotent: true,
+		JoinExisting: !d.mayBootstrap(), ReplaceTicks: d.replaceTicks(), TargetVoters: d.settings.Source.Voters,
 	}, sourceTransport{d}, d.log.WithName(telemetry.SourceLogger), d.mesh.Publish)
 	d.leadership = d.newLeadership()
 	return err
--- a/internal/process/daemon/history.go
+++ b/internal/process/daemon/history.go
@@ -23,13 +23,13 @@
 // History implements operator.Backend. It returns the leader's history if possible, because
 // only the leader is sure to have applied every version that was reported as accepted. If the
 // leader cannot be reached, it returns the history of any source that replies.
-func (d *Daemon) History(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
+func (d *Daemon) History(ctx context.Context, r source.HistoryRequest) ([]source.HistoryEntry, error) {
 	if d.source != nil {
 		return d.leaderHistory(ctx, r)
 	}
 	err := errors.New("the settings name no sources")
 	for _, member := range d.settings.Source.Members {
-		var history []source.Accepted
+		var history []source.HistoryEntry
 		if err = d.pool.Call(ctx, member.Peer, sourceHistory, r, &history); err == nil {
 			return history, nil
 		}
@@ -39,13 +39,13 @@
 
 // leaderHistory returns the leader's history, or this source's own if the leader cannot be
 // reached.
-func (d *Daemon) leaderHistory(ctx context.Context, r source.HistoryRequest) ([]source.Accepted, error) {
+func (d *Daemon) leaderHistory(ctx context.Context, r source.HistoryRequest) ([]source.HistoryEntry, error) {
 	lead := d.source.Status().Lead
 	addr, known := d.memberAddr(lead)
 	if known && lead != d.settings.Node {
 		callCtx, cancel := context.WithTimeout(ctx, sourceCallTimeout)
 		defer cancel()
-		var history []source.Accepted
+		var history []source.HistoryEntry
 		err := d.pool.Call(callCtx, addr, sourceOwnHistory, r, &history)
 		if err == nil {
 			return history, nil
@@ -56,7 +56,7 @@
 }
 
 // History returns the accepted manifests, from the leader if possible.
-func (s *sourceService) History(r source.HistoryRequest, history *[]source.Accepted) error {
+func (s *sourceService) History(r source.HistoryRequest, history *[]source.HistoryEntry) error {
 	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*history, err = s.d.leaderHistory(ctx, r)
 		return err
@@ -64,7 +64,7 @@
 }
 
 // OwnHistory returns the accepted manifests that this source has applied.
-func (s *sourceService) OwnHistory(r source.HistoryRequest, history *[]source.Accepted) error {
+func (s *sourceService) OwnHistory(r source.HistoryRequest, history *[]source.HistoryEntry) error {
 	return s.handle(submitTimeout, func(ctx context.Context) (err error) {
 		*history, err = s.d.source.History(ctx, r)
 		return err
--- a/internal/process/daemon/lead.go
+++ b/internal/process/daemon/lead.go
@@ -99,10 +99,10 @@
 
 func (d *Daemon) newLeadership() *leadership {
 	l := &leadership{
-		leads:   func() (uint64, bool) { return d.source.Leads() },
+		leads:   func() (uint64, bool) { return d.source.Leadership() },
 		others:  d.otherSources,
 		version: func() uint64 { return d.source.Status().Version },
-		settled: func() bool { return d.source.Settled() },
+		settled: func() bool { return d.source.LeaderCaughtUp() },
 		term: func(ctx context.Context, addr string) (uint64, error) {
 			var term uint64
 			return term, d.pool.Call(ctx, addr, sourceTerm, Empty{}, &term)
--- a/internal/process/daemon/order_test.go
+++ b/internal/process/daemon/order_test.go
@@ -21,7 +21,7 @@
 	m, err := manifest.Parse([]byte(testManifest))
 	c.Assert(err, qt.IsNil)
 	m.Version = n
-	return &source.Order{Manifest: *m, Base: source.On(base), Text: fleet.Pack(fmt.Appendf(nil, "text of %d", n))}
+	return &source.Order{Manifest: *m, Base: source.BaseVersion(base), Text: fleet.Pack(fmt.Appendf(nil, "text of %d", n))}
 }
 
 // startSources runs three sources.
@@ -124,6 +124,6 @@
 	for _, base := range []uint64{0, 7} {
 		_, err := d.Order(context.Background(), newOrder(c, 8, base))
 		c.Assert(err, qt.IsNil)
-		c.Check((<-orders).Base, qt.Equals, source.On(base))
+		c.Check((<-orders).Base, qt.Equals, source.BaseVersion(base))
 	}
 }
--- a/internal/process/daemon/rollout_lead.go
+++ b/internal/process/daemon/rollout_lead.go
@@ -19,7 +19,7 @@
 	d *Daemon
 
 	mu   sync.Mutex
-	core *rollout.Core
+	core *rollout.Controller
 	// leads is set while this source is the leader and has applied all entries that earlier
 	// leaders accepted.
 	leads bool
@@ -72,9 +72,9 @@
 		r.core.Watch(now, time.Now(), !r.watched, services)
 		r.watched = true
 	}
-	r.leads = r.d.source.Settled()
+	r.leads = r.d.source.LeaderCaughtUp()
 	if !r.leads {
-		r.core.Follow()
+		r.core.StepDown()
 		return nil
 	}
 	if len(services) == 0 {
@@ -107,7 +107,7 @@
 		}
 		list = append(list, rollout.Service{
 			ServiceName: source.ServiceName{Mesh: s.Key.Mesh, Service: s.Key.Name}, Rollout: known,
-			Sides: map[string]rollout.Side{}, Timeout: snap.LongestTimeout(s.Key),
+			Sides: map[string]rollout.VersionCapacity{}, Timeout: snap.LongestTimeout(s.Key),
 		})
 	}
 	return list
@@ -116,7 +116,7 @@
 // countFleet counts the servers of the services by software version.
 func countFleet(dir *directory.Directory, services []rollout.Service) *rollout.Fleet {
 	f := &rollout.Fleet{Services: services}
-	sides := map[snapshot.ServiceKey]map[string]rollout.Side{}
+	sides := map[snapshot.ServiceKey]map[string]rollout.VersionCapacity{}
 	for _, s := range services {
 		sides[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}] = s.Sides
 	}
@@ -130,7 +130,7 @@
 }
 
 // countServer adds a server that accepts requests to the side of its software version.
-func countServer(all map[snapshot.ServiceKey]map[string]rollout.Side, s *presence.Server, leaving bool) {
+func countServer(all map[snapshot.ServiceKey]map[string]rollout.VersionCapacity, s *presence.Server, leaving bool) {
 	sides, wanted := all[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}]
 	if !wanted || leaving || !s.State.TakesWork() {
 		return
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	start := time.Now()
-	answer, err := r.d.source.StepRollout(ctx, step)
+	answer, err := r.d.source.AdvanceRollout(ctx, step)
 	r.mu.Lock()
 	delete(r.pending, step.ServiceName)
 	r.mu.Unlock()
--- a/internal/process/daemon/submit_test.go
+++ b/internal/process/daemon/submit_test.go
@@ -128,7 +128,7 @@
 // missing manifest, and that each read is logged. When sources wrongly answered reads with "no
 // configuration was accepted yet", neither logs nor metrics showed it.
 func TestReadTellsWhatIsMissing(t *testing.T) {
-	winner := &source.Accepted{Version: 99, Fleet: 30}
+	winner := &source.HistoryEntry{Version: 99, Fleet: 30}
 	for name, row := range map[string]struct {
 		answer source.Answer
 		want   result.Code
@@ -167,7 +167,7 @@
 	c := qt.New(t)
 	var lines []string
 	d := newClient(c, operatorLines(&lines), []*fakeSource{{answer: source.Answer{Code: result.Accepted, Fleet: 31}}})
-	_, err := d.Order(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}, Base: source.On(97)})
+	_, err := d.Order(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}, Base: source.BaseVersion(97)})
 	c.Assert(err, qt.IsNil)
 	c.Assert(lines, qt.HasLen, 1)
 	c.Check(lines[0], qt.Contains, `"msg"="order answered" "node"="n1" "mesh"="m" "version"=99 "base"="97" "result"="100 Accepted" "fleet"=31`)
--- a/internal/process/daemon/wire_test.go
+++ b/internal/process/daemon/wire_test.go
@@ -32,7 +32,7 @@
 		t.Run("gob "+name, func(t *testing.T) { testRoundTrip(t, typ, gobRoundTrip) })
 	}
 	for _, typ := range []reflect.Type{
-		reflect.TypeFor[source.Command](), reflect.TypeFor[source.Answer](), reflect.TypeFor[source.Accepted](), reflect.TypeFor[once.Reply](),
+		reflect.TypeFor[source.Command](), reflect.TypeFor[source.Answer](), reflect.TypeFor[source.HistoryEntry](), reflect.TypeFor[once.Reply](),
 	} {
 		t.Run("cbor "+typ.String(), func(t *testing.T) { testRoundTrip(t, typ, cborRoundTrip(quorum.Encode)) })
 	}
--- a/internal/process/quorum/group.go
+++ b/internal/process/quorum/group.go
@@ -25,13 +25,13 @@
 	// TickInterval is the duration of one tick.
 	TickInterval time.Duration
 	// ElectionTicks, HeartbeatTicks and FirstTicks are passed to replica.Config.
-	ElectionTicks  int
-	HeartbeatTicks int
-	FirstTicks     int
-	// Joins, ReplaceTicks and Voters are passed to replica.Config.
-	Joins        bool
+	ElectionTicks      int
+	HeartbeatTicks     int
+	FirstElectionTicks int
+	// JoinExisting, ReplaceTicks and Voters are passed to replica.Config.
+	JoinExisting bool
 	ReplaceTicks int
-	Voters       int
+	TargetVoters int
 	Seed         uint64
 	// Idempotent states that the state machine answers a resent command with its first
 	// answer. Propose then resends a command whose outcome is unknown.
@@ -82,8 +82,8 @@
 	}
 	node, err := NewNode(replica.Config{
 		ID: cfg.ID, Members: cfg.Members,
-		ElectionTicks: cfg.ElectionTicks, HeartbeatTicks: cfg.HeartbeatTicks, FirstTicks: cfg.FirstTicks, Seed: cfg.Seed,
-		Joins: cfg.Joins, ReplaceTicks: cfg.ReplaceTicks, Voters: cfg.Voters,
+		ElectionTicks: cfg.ElectionTicks, HeartbeatTicks: cfg.HeartbeatTicks, FirstElectionTicks: cfg.FirstElectionTicks, Seed: cfg.Seed,
+		JoinExisting: cfg.JoinExisting, ReplaceTicks: cfg.ReplaceTicks, TargetVoters: cfg.TargetVoters,
 	}, restored, disk, machine, transport.Send, log)
 	if err != nil {
 		return nil, errors.CombineErrors(err, disk.Close())
@@ -109,8 +109,8 @@
 // Status returns the latest status.
 func (g *Group[R]) Status() Status { return *g.status.Load() }
 
-// Leads reports whether this member is the leader of the group.
-func (g *Group[R]) Leads() bool { return g.Status().Role == replica.Leader.String() }
+// IsLeader reports whether this member is the leader of the group.
+func (g *Group[R]) IsLeader() bool { return g.Status().Role == replica.Leader.String() }
 
 // Run drives the group until ctx is done. A disk failure does not end it.
 func (g *Group[R]) Run(ctx context.Context) error {
@@ -158,7 +158,7 @@
 // entries were applied.
 func (g *Group[R]) processReady() {
 	before, began := g.node.stats, time.Now()
-	g.node.Settle()
+	g.node.ProcessReady()
 	entries := g.node.stats.Entries - before.Entries
 	if entries == 0 {
 		return
@@ -243,7 +243,7 @@
 		defer cancel()
 	}
 	status := g.Status()
-	if status.Failure == "" && g.Leads() {
+	if status.Failure == "" && g.IsLeader() {
 		return g.proposeLocal(ctx, data)
 	}
 	if status.Lead == "" || status.Lead == g.cfg.ID {
@@ -288,9 +288,9 @@
 	}
 }
 
-// Serve handles a command that another member forwarded with Transport.Propose. It
+// ServeProposal handles a command that another member forwarded with Transport.Propose. It
 // proposes on this member only.
-func (g *Group[R]) Serve(ctx context.Context, data []byte) Reply {
+func (g *Group[R]) ServeProposal(ctx context.Context, data []byte) Reply {
 	answer, err := g.proposeLocal(ctx, data)
 	var e *result.Error
 	if errors.As(err, &e) {
--- a/internal/process/quorum/group_test.go
+++ b/internal/process/quorum/group_test.go
@@ -31,7 +31,7 @@
 	return c.numbers[string(data)], nil
 }
 
-func (c *counter) Applied() {}
+func (c *counter) BatchApplied() {}
 
 func (c *counter) Snapshot() ([]byte, error) {
 	return binary.LittleEndian.AppendUint64(nil, uint64(len(c.numbers))), nil
@@ -84,7 +84,7 @@
 
 func (cl *cluster) leader() string {
 	for id, g := range cl.members {
-		if g.Leads() && !cl.stopped[id].Load() {
+		if g.IsLeader() && !cl.stopped[id].Load() {
 			return id
 		}
 	}
@@ -104,7 +104,7 @@
 		<-ctx.Done()
 		return Reply{}, ctx.Err()
 	}
-	return cl.members[to].Serve(ctx, data), nil
+	return cl.members[to].ServeProposal(ctx, data), nil
 }
 
 // TestProposeThroughElection guards against proposals that fail or are applied twice
--- a/internal/process/quorum/node.go
+++ b/internal/process/quorum/node.go
@@ -107,8 +107,8 @@
 		callback(zero, result.Errorf(failureCode(n.failed), "%v", n.failed))
 		return
 	}
-	if len(data) > storage.MaxData {
-		callback(zero, result.Errorf(result.InputTooLarge, "command has %d bytes, limit is %d", len(data), storage.MaxData))
+	if len(data) > storage.MaxEntryBytes {
+		callback(zero, result.Errorf(result.InputTooLarge, "command has %d bytes, limit is %d", len(data), storage.MaxEntryBytes))
 		return
 	}
 	if refused := n.checkCommand(data); refused != nil {
@@ -133,9 +133,9 @@
 	return checker.Check(data)
 }
 
-// Settle processes the work returned by the core until there is none left. After a
+// ProcessReady processes the work returned by the core until there is none left. After a
 // failed write nothing is persisted, sent or accepted any more.
-func (n *Node[R]) Settle() {
+func (n *Node[R]) ProcessReady() {
 	for n.failed == nil {
 		ready := n.core.Ready()
 		if ready.Empty() {
@@ -152,7 +152,7 @@
 		n.core.Advance(ready)
 		n.compact()
 	}
-	n.machine.Applied()
+	n.machine.BatchApplied()
 	if n.core.Role() != replica.Leader {
 		n.failWaiters(errLeadershipLost)
 	}
@@ -224,7 +224,7 @@
 	if applied == 0 {
 		return
 	}
-	n.machine.Applied()
+	n.machine.BatchApplied()
 	for i, e := range entries[:applied] {
 		n.complete(e, answers[i])
 	}
@@ -274,7 +274,7 @@
 // Status returns the state of the group as seen by this member.
 func (n *Node[R]) Status() Status {
 	s := Status{
-		Role: n.core.Role().String(), Term: n.core.Term(), Lead: n.core.Lead(), Commit: n.core.Commit(), Last: n.core.Last(), Settled: n.failed == nil && n.core.Settled(),
+		Role: n.core.Role().String(), Term: n.core.Term(), Lead: n.core.Lead(), Commit: n.core.Commit(), Last: n.core.Last(), Settled: n.failed == nil && n.core.LeaderCaughtUp(),
 		Repair: n.core.Repair(), Syncs: n.disk.Syncs(), LogBytes: n.disk.Size(), Applied: n.stats,
 	}
 	for _, v := range n.core.Membership().Voters {
--- a/internal/process/quorum/quorum.go
+++ b/internal/process/quorum/quorum.go
@@ -24,9 +24,9 @@
 	// member differs from that of the others, or cannot follow it. The member then
 	// stops taking part in the group.
 	Apply(index, term uint64, data []byte) (R, error)
-	// Applied is called after each batch of commands, before any of them is answered,
+	// BatchApplied is called after each batch of commands, before any of them is answered,
 	// and after Restore once the log entries that follow the snapshot are applied.
-	Applied()
+	BatchApplied()
 	// Snapshot encodes the complete state.
 	Snapshot() ([]byte, error)
 	// Restore replaces the complete state with one that Snapshot encoded.
--- a/internal/process/replica/core.go
+++ b/internal/process/replica/core.go
@@ -16,24 +16,24 @@
 	// ID is the name of this member. Members lists all members, including this one.
 	ID      string
 	Members []string
-	// Joins prevents a member with a new data directory from bootstrapping a group; it
+	// JoinExisting prevents a member with a new data directory from bootstrapping a group; it
 	// waits to be admitted to an existing one.
-	Joins bool
+	JoinExisting bool
 	// ReplaceTicks is how long a voter must be silent before a newcomer may replace
 	// it; 0 disables replacement.
 	ReplaceTicks int
-	// Voters is the number of voters up to which the group grows when newcomers ask to
+	// TargetVoters is the number of voters up to which the group grows when newcomers ask to
 	// join. A value below the number of bootstrapping members disables growth.
-	Voters int
+	TargetVoters int
 	// ElectionTicks is the minimum number of ticks without a leader before a member
 	// campaigns. The actual number is drawn from [ElectionTicks, 2*ElectionTicks).
 	ElectionTicks int
 	// HeartbeatTicks is the number of ticks between a leader's heartbeats.
 	HeartbeatTicks int
-	// FirstTicks replaces ElectionTicks from process start until a leader is known, so
+	// FirstElectionTicks replaces ElectionTicks from process start until a leader is known, so
 	// that a group whose members were all restarted elects a leader sooner; 0 disables
 	// it. It cannot depose a live leader, because of the pre-vote.
-	FirstTicks int
+	FirstElectionTicks int
 	// Seed makes the random timeouts reproducible.
 	Seed uint64
 }
@@ -99,7 +99,7 @@
 		lastHardState:       restored.HardState,
 		membership:          restored.Membership,
 		confirmedDisks:      map[string]uint64{},
-		awaitingFirstLeader: cfg.FirstTicks > 0,
+		awaitingFirstLeader: cfg.FirstElectionTicks > 0,
 	}
 	c.initMembership()
 	c.log.restore(restored.Snapshot)
@@ -130,9 +130,9 @@
 // Term returns the current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Settled reports whether this member is the leader and has applied an entry of its
+// LeaderCaughtUp reports whether this member is the leader and has applied an entry of its
 // own term. It has then applied everything that earlier leaders committed.
-func (c *Core) Settled() bool {
+func (c *Core) LeaderCaughtUp() bool {
 	term, known := c.log.term(c.log.applied)
 	return c.role == Leader && known && term == c.term
 }
--- a/internal/process/replica/election.go
+++ b/internal/process/replica/election.go
@@ -18,7 +18,7 @@
 	if c.awaitingFirstLeader {
 		// Members that start together would campaign together if they drew from a
 		// range of only a few ticks.
-		ticks, jitter = c.cfg.FirstTicks, firstTimeoutSpread*c.cfg.FirstTicks
+		ticks, jitter = c.cfg.FirstElectionTicks, firstTimeoutSpread*c.cfg.FirstElectionTicks
 	}
 	c.electionTimeout = ticks + c.rand.IntN(jitter)
 }
--- a/internal/process/replica/membership.go
+++ b/internal/process/replica/membership.go
@@ -74,7 +74,7 @@
 // bootstrap gives a new member its vote once all peers have confirmed its disk; at
 // once if it has no peers.
 func (c *Core) bootstrap() {
-	mayBootstrap := !c.cfg.Joins || c.membership.MayBootstrap || c.knownToVoter
+	mayBootstrap := !c.cfg.JoinExisting || c.membership.MayBootstrap || c.knownToVoter
 	if mayBootstrap && !c.membership.Voting && !c.membership.Learning && len(c.confirmedDisks) == len(c.peers) {
 		c.membership.Voters = c.initialVoters()
 		c.membership.Voting = true
@@ -91,13 +91,13 @@
 // persisted, because the member may be restarted before the group is bootstrapped.
 func (c *Core) initMembership() {
 	fresh := !c.membership.Voting && !c.membership.Learning
-	if fresh && !c.cfg.Joins && c.cfg.ReplaceTicks > 0 && !c.membership.MayBootstrap {
+	if fresh && !c.cfg.JoinExisting && c.cfg.ReplaceTicks > 0 && !c.membership.MayBootstrap {
 		c.membership.MayBootstrap, c.membershipChanged = true, true
 	}
 	switch {
 	case c.membership.Group != 0:
 		c.group = c.membership.Group
-	case fresh && c.cfg.Joins && !c.membership.MayBootstrap:
+	case fresh && c.cfg.JoinExisting && !c.membership.MayBootstrap:
 		c.group = 0
 	}
 }
@@ -258,7 +258,7 @@
 	}
 	replaced := id
 	if diskIn(c.membership.Voters, id) == 0 {
-		if replaced = c.longestSilentVoter(); replaced == "" && len(c.membership.Voters) >= c.cfg.Voters {
+		if replaced = c.longestSilentVoter(); replaced == "" && len(c.membership.Voters) >= c.cfg.TargetVoters {
 			return
 		}
 	}
--- a/internal/process/replica/replace_test.go
+++ b/internal/process/replica/replace_test.go
@@ -18,7 +18,7 @@
 	newer := []Voter{{Member: "b", Disk: 2}, {Member: "c", Disk: 3}, {Member: "d", Disk: 4}}
 	entries := []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1, Voters: older}, {Index: 3, Term: 1}, {Index: 4, Term: 1, Voters: newer}}
 	for commit := range uint64(5) {
-		core := New(Config{ID: "d", Members: members, ElectionTicks: 10, HeartbeatTicks: 2, ReplaceTicks: 50, Voters: 3}, Restored{
+		core := New(Config{ID: "d", Members: members, ElectionTicks: 10, HeartbeatTicks: 2, ReplaceTicks: 50, TargetVoters: 3}, Restored{
 			HardState:  HardState{Term: 1, Commit: commit},
 			Membership: Membership{Disk: 4, Voting: true, Voters: newer, VotersAt: 4, Group: groupHash(members)},
 			Entries:    entries,
--- a/internal/process/rollout/core.go
+++ b/internal/process/rollout/core.go
@@ -31,11 +31,11 @@
 	// decisionMargin is how long before its time limit a roll-out is decided as it stands:
 	// completed if the handover is complete, otherwise rolled back.
 	decisionMargin = 300 * time.Millisecond
-	// SilentAfter is the time without reports after which a daemon is considered
+	// UnreachableAfter is the time without reports after which a daemon is considered
 	// unreachable. By then the daemon has stopped sending requests to the target version on
 	// its own, and once the backend servers of the previous version are taken out of use,
 	// the daemons on the same instances reject its requests.
-	SilentAfter = 2500 * time.Millisecond
+	UnreachableAfter = 2500 * time.Millisecond
 )
 
 const (
@@ -77,15 +77,15 @@
 	Running int
 }
 
-// Side is the capacity of the backend servers of one software version of a service.
-type Side struct {
+// VersionCapacity is the capacity of the backend servers of one software version of a service.
+type VersionCapacity struct {
 	// Servers and Slots count the servers that accept requests and their slots. WarmSlots
 	// are the slots of the servers that have completed their slow start.
 	Servers, Slots, WarmSlots int
 }
 
 // warmServers returns the number of servers that have completed their slow start.
-func (s Side) warmServers() int {
+func (s VersionCapacity) warmServers() int {
 	if s.Slots == 0 {
 		return 0
 	}
@@ -98,7 +98,7 @@
 	// Rollout is the newest roll-out, or nil if no version of the service is known yet.
 	Rollout *fleet.Rollout
 	// Sides are the backend servers by software version.
-	Sides map[string]Side
+	Sides map[string]VersionCapacity
 	// Timeout is the longest request timeout of the service.
 	Timeout time.Duration
 }
@@ -112,8 +112,8 @@
 	Daemons []string
 }
 
-// Core controls the roll-outs of all services. It is not safe for concurrent use.
-type Core struct {
+// Controller controls the roll-outs of all services. It is not safe for concurrent use.
+type Controller struct {
 	// budget limits the requests sent to a version before it is judged good.
 	budget canary.Budget
 	// firstSeen is when each roll-out was first seen by this source.
@@ -130,8 +130,8 @@
 }
 
 // New returns a Core without any roll-outs.
-func New(b canary.Budget) *Core {
-	return &Core{budget: b, firstSeen: map[rolloutKey]time.Time{}, active: map[rolloutKey]*activeRollout{}, unversionedSince: map[source.ServiceName]time.Time{}}
+func New(b canary.Budget) *Controller {
+	return &Controller{budget: b, firstSeen: map[rolloutKey]time.Time{}, active: map[rolloutKey]*activeRollout{}, unversionedSince: map[source.ServiceName]time.Time{}}
 }
 
 // activeRollout is the leader's state of one undecided roll-out.
@@ -178,7 +178,7 @@
 // Watch records when each roll-out is first seen. It is called on every source, so that a new
 // leader knows how long the roll-outs have been running. fresh is set if this source has just
 // started: the age of a roll-out is then derived from wall, the wall clock time.
-func (c *Core) Watch(now, wall time.Time, fresh bool, services []Service) {
+func (c *Controller) Watch(now, wall time.Time, fresh bool, services []Service) {
 	for _, s := range services {
 		if s.Rollout == nil || !s.Rollout.Stage.Running() {
 			continue
@@ -195,14 +195,14 @@
 	}
 }
 
-// Follow discards the state that only a leader needs.
-func (c *Core) Follow() {
+// StepDown discards the state that only a leader needs.
+func (c *Controller) StepDown() {
 	clear(c.active)
 	clear(c.unversionedSince)
 }
 
 // Report records a daemon's report. It ignores services without a running roll-out.
-func (c *Core) Report(now time.Time, r *Report) {
+func (c *Controller) Report(now time.Time, r *Report) {
 	for i := range r.Services {
 		s := &r.Services[i]
 		if rollout := c.active[rolloutKey{s.ServiceName, s.Number}]; rollout != nil {
@@ -229,7 +229,7 @@
 }
 
 // Tick returns the steps to be proposed to the log.
-func (c *Core) Tick(now time.Time, f *Fleet) []source.RolloutStep {
+func (c *Controller) Tick(now time.Time, f *Fleet) []source.RolloutStep {
 	var steps []source.RolloutStep
 	running := map[rolloutKey]bool{}
 	for i := range f.Services {
@@ -259,7 +259,7 @@
 // setInitialVersion returns the step that sets the initial version of a service to the
 // version run by most of its servers, once they have been observed for
 // initialVersionDelay.
-func (c *Core) setInitialVersion(now time.Time, s *Service) []source.RolloutStep {
+func (c *Controller) setInitialVersion(now time.Time, s *Service) []source.RolloutStep {
 	version, most := "", 0
 	for v, side := range s.Sides {
 		if side.Servers > most || (side.Servers == most && v < version) {
@@ -283,7 +283,7 @@
 	}}
 }
 
-func (c *Core) activeFor(now time.Time, f *Fleet, s *Service) *activeRollout {
+func (c *Controller) activeFor(now time.Time, f *Fleet, s *Service) *activeRollout {
 	k := rolloutKey{s.ServiceName, s.Rollout.Number}
 	r := c.active[k]
 	if r == nil {
@@ -306,7 +306,7 @@
 
 // Tally returns the sum of all daemons' tallies of a roll-out. It returns false if the
 // roll-out is not active.
-func (c *Core) Tally(name source.ServiceName, number uint64) (canary.Tally, bool) {
+func (c *Controller) Tally(name source.ServiceName, number uint64) (canary.Tally, bool) {
 	r := c.active[rolloutKey{name, number}]
 	if r == nil {
 		return canary.Tally{}, false
--- a/internal/process/rollout/core_test.go
+++ b/internal/process/rollout/core_test.go
@@ -12,7 +12,7 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-func fleetWith(r *fleet.Rollout, sides map[string]rollout.Side, daemons ...string) *rollout.Fleet {
+func fleetWith(r *fleet.Rollout, sides map[string]rollout.VersionCapacity, daemons ...string) *rollout.Fleet {
 	return &rollout.Fleet{Version: 7, Daemons: daemons, Services: []rollout.Service{{ServiceName: name, Rollout: r, Sides: sides, Timeout: time.Second}}}
 }
 
@@ -28,8 +28,8 @@
 	c := qt.New(t)
 	core := rollout.New(budget)
 	now := time.Unix(1000, 0)
-	c.Check(core.Tick(now, fleetWith(nil, map[string]rollout.Side{})), qt.HasLen, 0)
-	f := fleetWith(nil, map[string]rollout.Side{"v1": {Servers: 3}, "v2": {Servers: 1}})
+	c.Check(core.Tick(now, fleetWith(nil, map[string]rollout.VersionCapacity{})), qt.HasLen, 0)
+	f := fleetWith(nil, map[string]rollout.VersionCapacity{"v1": {Servers: 3}, "v2": {Servers: 1}})
 	c.Check(core.Tick(now, f), qt.HasLen, 0)
 	c.Check(core.Tick(now.Add(900*time.Millisecond), f), qt.HasLen, 0)
 	steps := core.Tick(now.Add(time.Second), f)
@@ -61,7 +61,7 @@
 		core.Report(now, reportOf(row.node, row.incarnation, row.reported))
 		c.Check(reached(), qt.Equals, row.reached, qt.Commentf("%+v", row))
 	}
-	core.Follow()
+	core.StepDown()
 	_, known := core.Tally(name, 1)
 	c.Check(known, qt.IsFalse, qt.Commentf("a follower keeps no sums"))
 }
@@ -73,7 +73,7 @@
 	c := qt.New(t)
 	ordered := time.Unix(5000, 0)
 	r := &fleet.Rollout{Number: 1, Version: "v1", Target: "v2", Stage: fleet.Canary, Within: 10 * time.Second, Ordered: ordered}
-	f := fleetWith(r, map[string]rollout.Side{}, "a")
+	f := fleetWith(r, map[string]rollout.VersionCapacity{}, "a")
 	now := time.Unix(1000, 0)
 	for name, row := range map[string]struct {
 		fresh bool
@@ -129,7 +129,7 @@
 	now = now.Add(time.Second)
 	sendReport("a", 0)
 	c.Check(core.Tick(now, f), qt.HasLen, 0, qt.Commentf("b may still be reachable"))
-	now = now.Add(rollout.SilentAfter - time.Second)
+	now = now.Add(rollout.UnreachableAfter - time.Second)
 	sendReport("a", 0)
 	steps := core.Tick(now, f)
 	c.Assert(steps, qt.HasLen, 1)
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -118,7 +118,7 @@
 // canaryServers returns the number of servers of the target version to use. At first they are
 // as many as have the same utilization as the servers of the base version, later half as
 // many, to test them under higher load.
-func (r *activeRollout) canaryServers(elapsed, proofStart time.Duration, base, target Side) int {
+func (r *activeRollout) canaryServers(elapsed, proofStart time.Duration, base, target VersionCapacity) int {
 	warm := target.warmServers()
 	if warm == 0 {
 		return 0
@@ -168,7 +168,7 @@
 	if lastHeard.Before(r.stageEnteredAt) && report == nil {
 		lastHeard = r.stageEnteredAt
 	}
-	return now.Sub(lastHeard) >= SilentAfter
+	return now.Sub(lastHeard) >= UnreachableAfter
 }
 
 // handoverComplete reports whether no requests are sent to the previous version any more and
--- a/internal/process/rollout/sim_test.go
+++ b/internal/process/rollout/sim_test.go
@@ -138,9 +138,9 @@
 	nodes     []*node
 	base      []*server
 	target    []*server
-	core      *rollout.Core
+	core      *rollout.Controller
 	hasLeader bool
-	standby   *rollout.Core
+	standby   *rollout.Controller
 	rollout   fleet.Rollout
 	version   uint64
 	pending   bool
@@ -201,7 +201,7 @@
 	s.after(0, s.arrive)
 	for _, at := range sc.disturbance.leaderLost {
 		s.after(at, func() { s.hasLeader = false })
-		s.after(at+time.Second, func() { s.core, s.standby, s.hasLeader = s.standby, rollout.New(budget), true; s.core.Follow() })
+		s.after(at+time.Second, func() { s.core, s.standby, s.hasLeader = s.standby, rollout.New(budget), true; s.core.StepDown() })
 	}
 	for len(s.events) > 0 && s.now < sc.within+2*time.Second {
 		e := heap.Pop(&s.events).(event)
@@ -385,7 +385,7 @@
 	}
 	f := &rollout.Fleet{Version: s.version, Services: []rollout.Service{{
 		ServiceName: name, Rollout: &current, Timeout: s.timeout,
-		Sides: map[string]rollout.Side{
+		Sides: map[string]rollout.VersionCapacity{
 			"v1": {Servers: s.servers, Slots: s.servers * s.slots, WarmSlots: s.servers * s.slots},
 			"v2": {Servers: s.servers, Slots: s.servers * s.slots, WarmSlots: warm},
 		},
--- a/internal/process/source/cluster_test.go
+++ b/internal/process/source/cluster_test.go
@@ -24,7 +24,7 @@
 	blockedLinks map[[2]string]bool
 	// accepted holds the accepted manifests by fleet version, recorded when the first
 	// source applies them.
-	accepted map[uint64]Accepted
+	accepted map[uint64]HistoryEntry
 	// newest is the highest fleet version applied by any member. hashes are the state hashes
 	// by fleet version.
 	newest uint64
@@ -63,7 +63,7 @@
 }
 
 func newTestCluster(n int, compactAfter uint64) *testCluster {
-	c := &testCluster{compactAfter: compactAfter, members: map[string]*testMember{}, blockedLinks: map[[2]string]bool{}, accepted: map[uint64]Accepted{}, hashes: map[uint64]uint64{}}
+	c := &testCluster{compactAfter: compactAfter, members: map[string]*testMember{}, blockedLinks: map[[2]string]bool{}, accepted: map[uint64]HistoryEntry{}, hashes: map[uint64]uint64{}}
 	for i := range n {
 		id := string(rune('a' + i))
 		c.ids = append(c.ids, id)
@@ -95,7 +95,7 @@
 	}
 	m.node, err = quorum.NewNode(replica.Config{
 		ID: id, Members: c.configuredMembers(id), ElectionTicks: 10, HeartbeatTicks: 2, Seed: c.seed,
-		ReplaceTicks: c.replaceTicks, Voters: c.voters, Joins: len(c.founders) > 0 && (m.diskReplaced || !slices.Contains(c.founders, id)),
+		ReplaceTicks: c.replaceTicks, TargetVoters: c.voters, JoinExisting: len(c.founders) > 0 && (m.diskReplaced || !slices.Contains(c.founders, id)),
 	}, restored, disk, m.machine, func(_ string, list []replica.Message) { c.net = append(c.net, list...) }, logr.Discard())
 	if err == nil && c.compactAfter > 0 {
 		m.node.SetCompactAfter(c.compactAfter)
@@ -181,7 +181,7 @@
 // finishWork completes the pending work of a member and checks its state against the
 // oracle.
 func (c *testCluster) finishWork(m *testMember) {
-	m.node.Settle()
+	m.node.ProcessReady()
 	status := m.node.Status()
 	if status.Repair.State == replica.RepairDone || status.Repair.State == replica.RepairNone {
 		m.repairing = false
@@ -311,7 +311,7 @@
 // checkAnswer checks an answer against the list of accepted manifests.
 func (c *testCluster) checkAnswer(mf *manifest.Manifest, a Answer) {
 	content, _ := fleet.ContentHash(mf)
-	want := Accepted{Fleet: a.Fleet, Mesh: mf.Mesh, Version: mf.Version, Content: content, Time: time.Unix(0, 0).UTC()}
+	want := HistoryEntry{Fleet: a.Fleet, Mesh: mf.Mesh, Version: mf.Version, Content: content, Time: time.Unix(0, 0).UTC()}
 	if a.Fleet <= c.newest && c.accepted[a.Fleet] != want {
 		c.reportViolation("answered %+v, accepted was %+v", want, c.accepted[a.Fleet])
 	}
--- a/internal/process/source/history.go
+++ b/internal/process/source/history.go
@@ -27,24 +27,24 @@
 
 // History returns the newest accepted manifests selected by r, oldest first. It returns
 // only manifests that this source has applied.
-func (s *Source) History(ctx context.Context, r HistoryRequest) ([]Accepted, error) {
-	var history []Accepted
+func (s *Source) History(ctx context.Context, r HistoryRequest) ([]HistoryEntry, error) {
+	var history []HistoryEntry
 	err := s.group.Query(ctx, func() { history = s.machine.newestHistory(&r) })
 	return history, err
 }
 
 // newestHistory returns the newest history entries selected by r. It takes at most the
 // limit from each mesh, which bounds the time for which applying log entries is blocked.
-func (m *stateMachine) newestHistory(r *HistoryRequest) []Accepted {
+func (m *stateMachine) newestHistory(r *HistoryRequest) []HistoryEntry {
 	limit := r.limit()
 	if r.Mesh != "" {
 		h := m.history[r.Mesh]
 		return slices.Clone(h[max(len(h)-limit, 0):])
 	}
-	var entries []Accepted
+	var entries []HistoryEntry
 	for _, h := range m.history {
 		entries = append(entries, h[max(len(h)-limit, 0):]...)
 	}
-	slices.SortFunc(entries, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
+	slices.SortFunc(entries, func(a, b HistoryEntry) int { return cmp.Compare(a.Fleet, b.Fleet) })
 	return entries[max(len(entries)-limit, 0):]
 }
--- a/internal/process/source/history_test.go
+++ b/internal/process/source/history_test.go
@@ -16,10 +16,10 @@
 // all meshes, and never more than requested.
 func TestHistoryIsBounded(t *testing.T) {
 	c := qt.New(t)
-	m := &stateMachine{state: &fleet.State{Version: 2 * MaxHistory}, history: map[string][]Accepted{}}
+	m := &stateMachine{state: &fleet.State{Version: 2 * MaxHistory}, history: map[string][]HistoryEntry{}}
 	for i := range uint64(2 * MaxHistory) {
 		mesh := fmt.Sprintf("m%d", i%3)
-		m.history[mesh] = append(m.history[mesh], Accepted{Fleet: i + 1, Mesh: mesh})
+		m.history[mesh] = append(m.history[mesh], HistoryEntry{Fleet: i + 1, Mesh: mesh})
 	}
 	for _, row := range []struct {
 		request       HistoryRequest
@@ -48,7 +48,7 @@
 // no text, and the operator was told that there was no configuration.
 func TestAnswerTravelsWhole(t *testing.T) {
 	c := qt.New(t)
-	entry := Accepted{Fleet: 3, Mesh: "m", Version: 7, Content: 9, Time: time.Unix(5, 0).UTC()}
+	entry := HistoryEntry{Fleet: 3, Mesh: "m", Version: 7, Content: 9, Time: time.Unix(5, 0).UTC()}
 	sent := Answer{Code: result.Answered, Fleet: 3, Winner: &entry, Detail: "d", Text: []byte("text")}
 	raw, err := cbor.Marshal(sent)
 	c.Assert(err, qt.IsNil)
--- a/internal/process/source/image.go
+++ b/internal/process/source/image.go
@@ -27,8 +27,8 @@
 
 // encodedSnapshot is the CBOR representation of a stateMachine.
 type encodedSnapshot struct {
-	Delta   []byte     `cbor:"1,keyasint,omitempty"`
-	History []Accepted `cbor:"2,keyasint,omitempty"`
+	Delta   []byte         `cbor:"1,keyasint,omitempty"`
+	History []HistoryEntry `cbor:"2,keyasint,omitempty"`
 	// Texts are sorted by mesh when encoded, so that equal maps have equal encodings.
 	Texts map[string][]byte `cbor:"3,keyasint,omitempty"`
 	// Format is the format of Packed. If it is not snapshotPlain, the fields above are
@@ -104,7 +104,7 @@
 	for mesh, packed := range snapshot.Texts {
 		m.texts[mesh] = unpackManifestText(packed)
 	}
-	m.history = map[string][]Accepted{}
+	m.history = map[string][]HistoryEntry{}
 	for _, entry := range snapshot.History {
 		entry.Time = entry.Time.UTC()
 		m.history[entry.Mesh] = append(m.history[entry.Mesh], entry)
--- a/internal/process/source/image_test.go
+++ b/internal/process/source/image_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	m.Applied()
+	m.BatchApplied()
 	return o.packedAnswer()
 }
 
--- a/internal/process/source/machine.go
+++ b/internal/process/source/machine.go
@@ -15,8 +15,8 @@
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
-// Accepted is the history entry of one accepted manifest.
-type Accepted struct {
+// HistoryEntry is the history entry of one accepted manifest.
+type HistoryEntry struct {
 	// Fleet is the fleet version created by accepting the manifest.
 	Fleet uint64 `cbor:"1,keyasint" json:"fleet"`
 	Mesh  string `cbor:"2,keyasint" json:"mesh"`
@@ -33,8 +33,8 @@
 	Fleet uint64 `json:"fleet,omitempty"`
 	// Winner is the accepted manifest that conflicts with the order, if rejected. For
 	// a read, it is the newest accepted manifest.
-	Winner *Accepted `json:"winner,omitempty"`
-	Detail string    `json:"detail,omitempty"`
+	Winner *HistoryEntry `json:"winner,omitempty"`
+	Detail string        `json:"detail,omitempty"`
 	// Text is the response to a read: the compressed source text of the newest
 	// manifest, empty before the first one. It needs an explicit CBOR name: otherwise
 	// the json tag "-" would also omit it from CBOR, and reads forwarded to the leader
@@ -54,7 +54,7 @@
 type stateMachine struct {
 	state *fleet.State
 	// history holds the accepted manifests of each mesh, oldest first.
-	history map[string][]Accepted
+	history map[string][]HistoryEntry
 	// texts are the source texts of the newest manifests by mesh. The map is copied on
 	// write, because it is shared with diffBase.
 	texts  map[string]*manifestText
@@ -73,7 +73,7 @@
 
 func newStateMachine(log logr.Logger, onState func(*fleet.State)) *stateMachine {
 	m := &stateMachine{
-		state: fleet.Empty(), history: map[string][]Accepted{}, texts: map[string]*manifestText{}, routes: routeIndex{},
+		state: fleet.Empty(), history: map[string][]HistoryEntry{}, texts: map[string]*manifestText{}, routes: routeIndex{},
 		maxHistory: maxHistoryPerMesh, log: log, onState: onState,
 	}
 	m.diffBase.Store(emptyDiffBase)
@@ -81,12 +81,12 @@
 }
 
 // allHistory returns all retained history entries of all meshes, oldest first.
-func (m *stateMachine) allHistory() []Accepted {
-	var entries []Accepted
+func (m *stateMachine) allHistory() []HistoryEntry {
+	var entries []HistoryEntry
 	for _, h := range m.history {
 		entries = append(entries, h...)
 	}
-	slices.SortFunc(entries, func(a, b Accepted) int { return cmp.Compare(a.Fleet, b.Fleet) })
+	slices.SortFunc(entries, func(a, b HistoryEntry) int { return cmp.Compare(a.Fleet, b.Fleet) })
 	return entries
 }
 
@@ -111,8 +111,8 @@
 	return outcome{Answer: answer}, err
 }
 
-// Applied implements quorum.StateMachine. It publishes the newest state.
-func (m *stateMachine) Applied() {
+// BatchApplied implements quorum.StateMachine. It publishes the newest state.
+func (m *stateMachine) BatchApplied() {
 	if m.unpublished {
 		m.unpublished = false
 		m.onState(m.state)
@@ -174,7 +174,7 @@
 	m.state = next
 	m.texts = maps.Clone(m.texts)
 	m.texts[r.Mesh] = text
-	m.appendHistory(Accepted{Fleet: next.Version, Mesh: r.Mesh, Version: r.Version, Content: r.Content, Time: o.submitted})
+	m.appendHistory(HistoryEntry{Fleet: next.Version, Mesh: r.Mesh, Version: r.Version, Content: r.Content, Time: o.submitted})
 	m.diffBase.Store(&diffBase{state: m.state, texts: m.texts})
 	m.unpublished = true
 	m.log.Info("manifest accepted", "mesh", r.Mesh, "version", r.Version, "fleet", next.Version, "changes", len(r.Changes))
@@ -191,7 +191,7 @@
 	return next, text, err
 }
 
-func (m *stateMachine) appendHistory(entry Accepted) {
+func (m *stateMachine) appendHistory(entry HistoryEntry) {
 	entries := append(m.history[entry.Mesh], entry)
 	if len(entries) > m.maxHistory {
 		entries = slices.Clone(entries[len(entries)-m.maxHistory:])
@@ -232,14 +232,14 @@
 }
 
 // Number returns the version number assigned by the operator, or 0 if a is nil.
-func (a *Accepted) Number() uint64 {
+func (a *HistoryEntry) Number() uint64 {
 	if a == nil {
 		return 0
 	}
 	return a.Version
 }
 
-func (m *stateMachine) newest(mesh string) *Accepted {
+func (m *stateMachine) newest(mesh string) *HistoryEntry {
 	entries := m.history[mesh]
 	if len(entries) == 0 {
 		return nil
@@ -250,9 +250,9 @@
 
 // findVersion returns the history entry of a version, or nil. It uses binary search:
 // the versions of a mesh only increase.
-func (m *stateMachine) findVersion(mesh string, version uint64) *Accepted {
+func (m *stateMachine) findVersion(mesh string, version uint64) *HistoryEntry {
 	entries := m.history[mesh]
-	i, found := slices.BinarySearchFunc(entries, version, func(a Accepted, v uint64) int { return cmp.Compare(a.Version, v) })
+	i, found := slices.BinarySearchFunc(entries, version, func(a HistoryEntry, v uint64) int { return cmp.Compare(a.Version, v) })
 	if !found {
 		return nil
 	}
--- a/internal/process/source/reads_test.go
+++ b/internal/process/source/reads_test.go
@@ -65,7 +65,7 @@
 
 func (o *readObserver) submitOrder(m *testMember, base, version uint64) {
 	command := &Order{
-		Manifest: *testManifest(readMesh, version, fmt.Sprintf("s%d", base)), Base: On(base), Text: fleet.Pack([]byte(orderText(version, base))),
+		Manifest: *testManifest(readMesh, version, fmt.Sprintf("s%d", base)), Base: BaseVersion(base), Text: fleet.Pack([]byte(orderText(version, base))),
 	}
 	o.testCluster.proposeOrder(m, command, func(a Answer) {
 		a = roundTrip(o.t, outcome{Answer: a}).packedAnswer()
--- a/internal/process/source/refuse_test.go
+++ b/internal/process/source/refuse_test.go
@@ -24,9 +24,9 @@
 		c.Assert(err, qt.IsNil)
 		return o.Answer
 	}
-	c.Check(order("a", On(0)).Code, qt.Equals, result.Accepted)
-	c.Check(order("b", On(0)).Code, qt.Equals, result.BaseMoved)
+	c.Check(order("a", BaseVersion(0)).Code, qt.Equals, result.Accepted)
+	c.Check(order("b", BaseVersion(0)).Code, qt.Equals, result.BaseMoved)
 	c.Check(order("b", Base{}).Code, qt.Equals, result.VersionConflict)
-	c.Check(order("b", On(7)).Code, qt.Equals, result.VersionConflict)
-	c.Check(order("a", On(0)).Code, qt.Equals, result.AlreadyAccepted)
+	c.Check(order("b", BaseVersion(7)).Code, qt.Equals, result.VersionConflict)
+	c.Check(order("a", BaseVersion(0)).Code, qt.Equals, result.AlreadyAccepted)
 }
--- a/internal/process/source/revision_test.go
+++ b/internal/process/source/revision_test.go
@@ -61,8 +61,8 @@
 		_, err = m.Apply(version+1, 1, raw)
 		c.Assert(err, qt.IsNil)
 	}
-	m.Applied()
-	m.Applied()
+	m.BatchApplied()
+	m.BatchApplied()
 	c.Check(versions, qt.DeepEquals, []uint64{10})
 }
 
--- a/internal/process/source/rollout.go
+++ b/internal/process/source/rollout.go
@@ -10,9 +10,9 @@
 
 // Limits of a roll-out order.
 const (
-	// MinWithin and MaxWithin bound the time limit of a roll-out.
-	MinWithin = time.Second
-	MaxWithin = 6 * time.Hour
+	// MinRolloutDuration and MaxWithin bound the time limit of a roll-out.
+	MinRolloutDuration = time.Second
+	MaxRolloutDuration = 6 * time.Hour
 	// maxVersionName is the maximum length of the name of a software version, in bytes.
 	maxVersionName = 128
 	// resendWindow is how long after the time limit of a rolled-back roll-out an identical
@@ -48,8 +48,8 @@
 		return nil
 	case o.Target == "" || len(o.Target) > maxVersionName:
 		return result.Errorf(result.RolloutInvalid, "target version: want 1 to %d bytes, got %d", maxVersionName, len(o.Target))
-	case o.Within < MinWithin || o.Within > MaxWithin:
-		return result.Errorf(result.RolloutInvalid, "duration: want %s to %s, got %s", MinWithin, MaxWithin, o.Within)
+	case o.Within < MinRolloutDuration || o.Within > MaxRolloutDuration:
+		return result.Errorf(result.RolloutInvalid, "duration: want %s to %s, got %s", MinRolloutDuration, MaxRolloutDuration, o.Within)
 	}
 	return nil
 }
@@ -101,8 +101,8 @@
 	return s.proposeRollout(ctx, entry)
 }
 
-// StepRollout proposes a state transition decided by the leader.
-func (s *Source) StepRollout(ctx context.Context, step RolloutStep) (Answer, error) {
+// AdvanceRollout proposes a state transition decided by the leader.
+func (s *Source) AdvanceRollout(ctx context.Context, step RolloutStep) (Answer, error) {
 	return s.proposeRollout(ctx, rolloutEntry{
 		Action: actionStep, Name: step.ServiceName, Number: step.Number, Version: step.Version,
 		Stage: step.Stage, Servers: step.Servers, Why: step.Why,
--- a/internal/process/source/source.go
+++ b/internal/process/source/source.go
@@ -49,7 +49,7 @@
 // Open opens the data folder and returns a source that is ready to run. Run calls
 // onAccept with each new state.
 func Open(cfg quorum.Config, transport quorum.Transport, log logr.Logger, onAccept func(*fleet.State)) (*Source, error) {
-	s := &Source{voters: cfg.Voters, formationDeadline: time.Now().Add(formationTimeout)}
+	s := &Source{voters: cfg.TargetVoters, formationDeadline: time.Now().Add(formationTimeout)}
 	s.machine = newStateMachine(log, func(state *fleet.State) {
 		s.version.Store(state.Version)
 		onAccept(state)
@@ -68,20 +68,20 @@
 // Deliver processes messages received from other sources.
 func (s *Source) Deliver(messages []replica.Message) { s.group.Deliver(messages) }
 
-// Serve handles a command forwarded by another source.
-func (s *Source) Serve(ctx context.Context, data []byte) quorum.Reply {
-	return s.group.Serve(ctx, data)
+// ServeProposal handles a command forwarded by another source.
+func (s *Source) ServeProposal(ctx context.Context, data []byte) quorum.Reply {
+	return s.group.ServeProposal(ctx, data)
 }
 
-// Leads returns the current term and whether this source is its leader.
-func (s *Source) Leads() (term uint64, leads bool) {
+// Leadership returns the current term and whether this source is its leader.
+func (s *Source) Leadership() (term uint64, leads bool) {
 	status := s.group.Status()
 	return status.Term, status.Role == replica.Leader.String()
 }
 
-// Settled reports whether this source is the leader and has applied every entry
+// LeaderCaughtUp reports whether this source is the leader and has applied every entry
 // accepted in earlier terms.
-func (s *Source) Settled() bool { return s.group.Status().Settled }
+func (s *Source) LeaderCaughtUp() bool { return s.group.Status().Settled }
 
 // Status returns the current status.
 func (s *Source) Status() Status {
@@ -108,8 +108,8 @@
 	Version uint64
 }
 
-// On returns the base of an order that is valid only on top of the given version.
-func On(version uint64) Base { return Base{Named: true, Version: version} }
+// BaseVersion returns the base of an order that is valid only on top of the given version.
+func BaseVersion(version uint64) Base { return Base{Named: true, Version: version} }
 
 // String returns the version number, or "any" if no version is required.
 func (b Base) String() string {
--- a/internal/process/storage/record.go
+++ b/internal/process/storage/record.go
@@ -24,8 +24,8 @@
 	// maxRecordBytes bounds the total entry data in one record that has more than one
 	// entry.
 	maxRecordBytes = 8 << 20
-	// MaxData is the maximum size of the data of one entry.
-	MaxData = 48 << 20
+	// MaxEntryBytes is the maximum size of the data of one entry.
+	MaxEntryBytes = 48 << 20
 )
 
 var (
