--- a/internal/connection/gateway/caller.go
+++ b/internal/connection/gateway/caller.go
@@ -202,7 +202,7 @@
 	target := x.target
 	x.inheritedRetry = x.inheritedRetryProbability()
 	call, action := x.g.beginCall(x.g.service(target.Key), x.dir, target, x.route.Name, flow.Request{
-		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.largeBodyLength(x.body), Answer: x.g.link.expectedLargeResponse(x.route.Name), Inherited: x.inheritedRetry,
+		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.largeBodyLength(x.body), Answer: x.g.link.expectedLargeResponse(x.route.Name), RepeatProbability: x.inheritedRetry,
 	})
 	x.call = call
 	var last *refusal
--- a/internal/connection/gateway/gate.go
+++ b/internal/connection/gateway/gate.go
@@ -87,7 +87,7 @@
 func (g *gate) WouldRefuse(t admit.Ticket) *refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if d, refused := g.core.Refuses(time.Now(), &t); refused {
+	if d, refused := g.core.CheckRefusal(time.Now(), &t); refused {
 		return refusalOf(d)
 	}
 	return nil
@@ -139,7 +139,7 @@
 	now := time.Now()
 	l := balance.Load{
 		Running: g.core.Running(), Queued: g.core.Queued(), Limit: g.core.Limit(now), Service: g.core.Service(), Idle: g.core.Idle(now),
-		Failing: g.core.Failing(),
+		FailureRate: g.core.FailureRate(),
 	}
 	if g.core.Stalled(now) {
 		l.Queued = max(l.Queued, l.Limit)
@@ -167,7 +167,7 @@
 func (g *gate) typicalTime(kind string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Usual(kind)
+	return g.core.ServiceTime(kind)
 }
 
 // Running returns the number of slots in use.
--- a/internal/connection/gateway/gateway.go
+++ b/internal/connection/gateway/gateway.go
@@ -151,8 +151,8 @@
 	}
 }
 
-func (g *Gateway) location() balance.Place {
-	return balance.Place{Node: g.cfg.Self, Domain: g.cfg.Domain, Region: g.cfg.Region}
+func (g *Gateway) location() balance.Location {
+	return balance.Location{Node: g.cfg.Self, Domain: g.cfg.Domain, Region: g.cfg.Region}
 }
 
 // BeginShutdown starts the planned shutdown: requests from other daemons are refused as not run,
--- a/internal/connection/gateway/link.go
+++ b/internal/connection/gateway/link.go
@@ -86,13 +86,13 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Ahead()
+	return d.core.PendingBytes()
 }
 
 // isLarge reports whether a body of the given length, or -1 if unknown, occupies the link
 // for longer than shortTransferTime.
 func (d *linkDirection) isLarge(bytes int64) bool {
-	return d.core != nil && d.core.Takes(bytes) > shortTransferTime
+	return d.core != nil && d.core.TransferTime(bytes) > shortTransferTime
 }
 
 // add registers a body. granted is nil if the body may be sent immediately; otherwise it
@@ -113,7 +113,7 @@
 func (d *linkDirection) recordSent(id uint64, n int) (granted chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	continues, next := d.core.Went(id, n)
+	continues, next := d.core.RecordProgress(id, n)
 	if continues {
 		return nil
 	}
@@ -127,7 +127,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.waiting, id)
-	for _, started := range d.core.Leave(id) {
+	for _, started := range d.core.Remove(id) {
 		d.grant(started)
 	}
 }
@@ -159,7 +159,7 @@
 		d.drainedAt = now
 	}
 	wait := d.drainedAt.Sub(now) - maxLinkBacklog
-	d.drainedAt = d.drainedAt.Add(d.core.Takes(int64(n)))
+	d.drainedAt = d.drainedAt.Add(d.core.TransferTime(int64(n)))
 	return wait
 }
 
@@ -245,8 +245,8 @@
 		return func() {}, nil
 	}
 	queued := l.outbound.queuedBytes()
-	startsIn := max(typicalTime, l.outbound.core.Takes(queued))
-	if late := req.lateness(startsIn+l.outbound.core.Takes(bytes), outboundTimeShare); queued > 0 && late > 0 {
+	startsIn := max(typicalTime, l.outbound.core.TransferTime(queued))
+	if late := req.lateness(startsIn+l.outbound.core.TransferTime(bytes), outboundTimeShare); queued > 0 && late > 0 {
 		return nil, &refusal{Error: result.Errorf(result.Overloaded, "the link is saturated: the response is expected to start in %s", startsIn), retryAfter: late}
 	}
 	l.outbound.reserve(bytes)
--- a/internal/connection/gateway/quarantine.go
+++ b/internal/connection/gateway/quarantine.go
@@ -122,7 +122,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.updateReports()
-	if q.core.Quiet() && !r.Isolated {
+	if q.core.Empty() && !r.Isolated {
 		return Screening{}
 	}
 	id := identityOf(r)
@@ -136,7 +136,7 @@
 	q.updateReports()
 	id := identityOf(r)
 	now, f := time.Now(), id.Fingerprint()
-	if q.core.Told(now, f, r.Isolated) {
+	if q.core.ReportRemoteCrash(now, f, r.Isolated) {
 		q.publish()
 	}
 	return q.judge(now, f, true)
@@ -184,7 +184,7 @@
 			// Reports of an earlier process of this daemon are treated like those of
 			// another daemon.
 			reports = append(reports, quarantine.Suspect{
-				Fingerprint: f, Crashes: s.Crashes, Until: time.UnixMilli(s.Until), Told: s.Told || self, Source: r.Node.Name,
+				Fingerprint: f, Crashes: s.Crashes, Until: time.UnixMilli(s.Until), ObservedElsewhere: s.Told || self, Source: r.Node.Name,
 			})
 		}
 	}
@@ -213,8 +213,8 @@
 	runID uint64
 }
 
-var quarantineFates = map[RunStatus]quarantine.Fate{
-	Finished: quarantine.Well, Cancelled: quarantine.GivenUp, Unsent: quarantine.GivenUp, Crashed: quarantine.Lost,
+var quarantineFates = map[RunStatus]quarantine.Outcome{
+	Finished: quarantine.Completed, Cancelled: quarantine.Aborted, Unsent: quarantine.Aborted, Crashed: quarantine.ConnectionLost,
 }
 
 // End implements Run. After a lost connection it checks whether the server is still
@@ -235,7 +235,7 @@
 	return crashed
 }
 
-func (s *suspectRun) recordEnd(fate quarantine.Fate, listening bool) (crashed, changed bool) {
+func (s *suspectRun) recordEnd(fate quarantine.Outcome, listening bool) (crashed, changed bool) {
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
 	crashed, changed = s.q.core.End(time.Now(), s.addr, s.runID, fate, listening)
@@ -259,13 +259,13 @@
 func (s *suspectRun) recordConnectionLoss() {
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
-	s.q.core.Drop(time.Now(), s.addr, s.runID)
+	s.q.core.RecordConnectionLoss(time.Now(), s.addr, s.runID)
 }
 
 func (q *Quarantine) publish() {
 	var out []presence.Suspect
 	for _, s := range q.core.Reports() {
-		out = append(out, presence.Suspect{Fingerprint: uint64(s.Fingerprint), Crashes: s.Crashes, Until: s.Until.UnixMilli(), Told: s.Told})
+		out = append(out, presence.Suspect{Fingerprint: uint64(s.Fingerprint), Crashes: s.Crashes, Until: s.Until.UnixMilli(), Told: s.ObservedElsewhere})
 	}
 	q.cfg.Publish(out)
 }
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -97,8 +97,8 @@
 // hold s.mu.
 func (s *service) chooseVersion(r *flow.Request, now time.Time, route string, inContact bool) {
 	if s.account != nil {
-		r.Arm, r.Then = s.account.Choose(now, route, inContact)
-		r.Otherwise = s.account.Other(r.Then)
+		r.Arm, r.RetryArm = s.account.Choose(now, route, inContact)
+		r.FallbackArm = s.account.Other(r.RetryArm)
 	}
 }
 
--- a/internal/connection/gateway/rollout_test.go
+++ b/internal/connection/gateway/rollout_test.go
@@ -34,7 +34,7 @@
 	c.Assert(err, qt.IsNil)
 	after := newDirectory(state)
 	g := New(Config{Directory: func() *directory.Directory { return after }, Rollout: RolloutConfig{Budget: canary.Budget{Share: 0.1, Slack: 50}}}, logr.Discard())
-	s := &service{core: flow.NewService(balance.Place{}, nil)}
+	s := &service{core: flow.NewService(balance.Location{}, nil)}
 	key := snapshot.ServiceKey{Mesh: "m", Name: "s"}
 	g.updateRollout(s, after, runningRollout(after.Snapshot, key))
 	s.account.Sent("v2")
--- a/internal/connection/gateway/service.go
+++ b/internal/connection/gateway/service.go
@@ -35,7 +35,7 @@
 	if s = g.services[key]; s == nil {
 		s = &service{core: flow.NewService(g.location(), g)}
 		s.core.Table.LinkBytes = g.cfg.LinkBytes
-		s.core.Table.Ejected = func(c *directory.Candidate, end balance.End, d time.Duration) {
+		s.core.Table.Ejected = func(c *directory.Candidate, end balance.Outcome, d time.Duration) {
 			g.log.Info("backend server ejected", "service", key.String(), "server", c.Server.Addr, "to", c.Node.Name, "why", end.String(), "for", d.String())
 		}
 		g.services[key] = s
@@ -70,7 +70,7 @@
 func (c *lockedCall) updateLoad(to *directory.Candidate, l balance.Load) {
 	c.service.mu.Lock()
 	defer c.service.mu.Unlock()
-	c.service.core.Table.Told(time.Now(), to, l)
+	c.service.core.Table.ReportLoad(time.Now(), to, l)
 }
 
 func (c *lockedCall) answered() flow.Action {
--- a/internal/request/admit/admit.go
+++ b/internal/request/admit/admit.go
@@ -102,8 +102,10 @@
 // Running returns the number of slots in use.
 func (c *Core) Running() int { return c.running }
 
-// Usual returns the smoothed service time of a kind of ticket.
-func (c *Core) Usual(kind string) time.Duration { return c.kindTimes.get(kind, c.limit.serviceTime) }
+// ServiceTime returns the smoothed service time of a kind of ticket.
+func (c *Core) ServiceTime(kind string) time.Duration {
+	return c.kindTimes.get(kind, c.limit.serviceTime)
+}
 
 // Limit returns how many tickets may run now: the number of slots, or fewer during
 // slow start or while latency is elevated. It is at least 1 if there are slots.
@@ -141,7 +143,7 @@
 // Arrive decides on a new ticket; the decisions may include other tickets. If they
 // do not include the new ticket, it waits.
 func (c *Core) Arrive(now time.Time, t Ticket) []Decision {
-	if d, refused := c.Refuses(now, &t); refused {
+	if d, refused := c.CheckRefusal(now, &t); refused {
 		return []Decision{d}
 	}
 	if len(c.queue) == 0 && c.canStart(now, &t) {
@@ -157,9 +159,9 @@
 	return decisions
 }
 
-// Refuses returns the refusal that a ticket would get if it arrived now, and
+// CheckRefusal returns the refusal that a ticket would get if it arrived now, and
 // whether it would be refused.
-func (c *Core) Refuses(now time.Time, t *Ticket) (Decision, bool) {
+func (c *Core) CheckRefusal(now time.Time, t *Ticket) (Decision, bool) {
 	t.arrived = now
 	switch {
 	case c.draining:
@@ -255,7 +257,7 @@
 		return 0
 	}
 	useful := time.Duration(UsefulShare * float64(t.Useful.Sub(now)))
-	return wait + c.Usual(t.Kind) - useful
+	return wait + c.ServiceTime(t.Kind) - useful
 }
 
 // Finish releases the slot of a ticket and returns the decisions on waiting ones.
--- a/internal/request/admit/failing.go
+++ b/internal/request/admit/failing.go
@@ -13,5 +13,5 @@
 	c.failureRate += failureRateWeight * (sample - c.failureRate)
 }
 
-// Failing returns the smoothed fraction of requests that fail.
-func (c *Core) Failing() float64 { return c.failureRate }
+// FailureRate returns the smoothed fraction of requests that fail.
+func (c *Core) FailureRate() float64 { return c.failureRate }
--- a/internal/request/balance/balance.go
+++ b/internal/request/balance/balance.go
@@ -68,8 +68,8 @@
 	Service time.Duration
 	// Idle is the time since Service was measured.
 	Idle time.Duration
-	// Failing is the smoothed fraction of requests that fail at the server.
-	Failing float64
+	// FailureRate is the smoothed fraction of requests that fail at the server.
+	FailureRate float64
 	// Inflow is the bytes of large bodies in transit to the server's instance;
 	// Outflow is the bytes of large answers that still have to leave it.
 	Inflow, Outflow int64
@@ -82,8 +82,8 @@
 	LocalLoad(addr string) (Load, bool)
 }
 
-// Place is the location of a daemon.
-type Place struct {
+// Location is the location of a daemon.
+type Location struct {
 	Node, Domain, Region string
 }
 
@@ -99,7 +99,7 @@
 // Table holds what one daemon knows about the servers of one service. It is not
 // safe for concurrent use.
 type Table struct {
-	self       Place
+	self       Location
 	local      Local
 	slowStart  time.Duration
 	candidates []*directory.Candidate
@@ -119,11 +119,11 @@
 	// unknown.
 	LinkBytes float64
 	// Ejected, if not nil, is called for each ejection with its cause and duration.
-	Ejected func(c *directory.Candidate, end End, d time.Duration)
+	Ejected func(c *directory.Candidate, end Outcome, d time.Duration)
 }
 
 // NewTable returns an empty table.
-func NewTable(self Place, local Local) *Table {
+func NewTable(self Location, local Local) *Table {
 	return &Table{self: self, local: local, servers: map[string]*server{}}
 }
 
--- a/internal/request/balance/balance_test.go
+++ b/internal/request/balance/balance_test.go
@@ -97,7 +97,7 @@
 	gap := time.Duration(float64(serviceTime) / (p.utilisation * float64(p.servers*p.slots)))
 	tables := make([]*Table, p.daemons)
 	for i := range tables {
-		tables[i] = NewTable(Place{Node: fmt.Sprint("daemon", i)}, nil)
+		tables[i] = NewTable(Location{Node: fmt.Sprint("daemon", i)}, nil)
 		tables[i].Update(candidates, 0)
 	}
 	at := time.Duration(0)
--- a/internal/request/balance/expected.go
+++ b/internal/request/balance/expected.go
@@ -80,7 +80,7 @@
 // the mean of all servers. A failure rate common to all, for instance because the
 // service calls another one that is full, says nothing about a single server.
 func (t *Table) failurePenalty(l Load, service, target time.Duration) float64 {
-	excess := l.freshness()*l.Failing - t.meanFailureRate
+	excess := l.freshness()*l.FailureRate - t.meanFailureRate
 	if excess <= failureRateNoise {
 		return 0
 	}
@@ -119,7 +119,7 @@
 
 // updateMeans adds a measured load to the means over all servers.
 func (t *Table) updateMeans(l Load) {
-	t.meanFailureRate += meanWeight * (l.Failing - t.meanFailureRate)
+	t.meanFailureRate += meanWeight * (l.FailureRate - t.meanFailureRate)
 	switch {
 	case l.Service == 0:
 	case t.meanServiceTime == 0:
--- a/internal/request/balance/expected_test.go
+++ b/internal/request/balance/expected_test.go
@@ -23,7 +23,7 @@
 
 // tableAt returns the table of a daemon in the failure domain "d".
 func tableAt(node string, candidates ...*directory.Candidate) *Table {
-	table := NewTable(Place{Node: node, Domain: "d"}, nil)
+	table := NewTable(Location{Node: node, Domain: "d"}, nil)
 	table.Update(candidates, 0)
 	return table
 }
@@ -43,9 +43,9 @@
 	c := qt.New(t)
 	here, there := candidateAt("here", "d"), candidateAt("there", "d")
 	table := tableAt("here", here, there)
-	table.Told(now, there, Load{Limit: 4, Service: time.Millisecond})
+	table.ReportLoad(now, there, Load{Limit: 4, Service: time.Millisecond})
 	c.Check(countPicks(table, now, 0)["here"] > 80, qt.IsTrue)
-	table.Told(now, here, Load{Limit: 4, Service: 20 * time.Millisecond})
+	table.ReportLoad(now, here, Load{Limit: 4, Service: 20 * time.Millisecond})
 	c.Check(countPicks(table, now, 0)["here"], qt.Equals, 0)
 	c.Check(countPicks(table, now.Add(time.Minute), 0)["here"] > 80, qt.IsTrue)
 }
@@ -57,10 +57,10 @@
 	near, far := candidateAt("near", "d"), candidateAt("far", "e")
 	table := tableAt("caller", near, far)
 	const target = 200 * time.Millisecond
-	table.Told(now, far, Load{Limit: 4, Service: 20 * time.Millisecond})
-	table.Told(now, near, Load{Limit: 4, Service: 60 * time.Millisecond})
+	table.ReportLoad(now, far, Load{Limit: 4, Service: 20 * time.Millisecond})
+	table.ReportLoad(now, near, Load{Limit: 4, Service: 60 * time.Millisecond})
 	c.Check(countPicks(table, now, target)["near"], qt.Equals, 100)
-	table.Told(now, near, Load{Limit: 4, Running: 4, Queued: 8, Service: 60 * time.Millisecond})
+	table.ReportLoad(now, near, Load{Limit: 4, Running: 4, Queued: 8, Service: 60 * time.Millisecond})
 	c.Check(countPicks(table, now, target)["far"], qt.Equals, 100)
 }
 
@@ -70,8 +70,8 @@
 	c := qt.New(t)
 	here, far := candidateAt("here", "d"), candidateAt("far", "e")
 	table := tableAt("here", here, far)
-	table.Told(now, here, Load{Limit: 4, Service: 900 * time.Microsecond})
-	table.Told(now, far, Load{Limit: 4, Service: 100 * time.Microsecond})
+	table.ReportLoad(now, here, Load{Limit: 4, Service: 900 * time.Microsecond})
+	table.ReportLoad(now, far, Load{Limit: 4, Service: 100 * time.Microsecond})
 	c.Check(countPicks(table, now, 0)["here"], qt.Equals, 100)
 }
 
@@ -83,8 +83,8 @@
 	busy, free := candidateAt("busy", "d"), candidateAt("free", "d")
 	table := tableAt("here", busy, free)
 	table.LinkBytes = 1e6
-	table.Told(now, busy, Load{Limit: 4, Service: 100 * time.Millisecond, Inflow: 500_000})
-	table.Told(now, free, Load{Limit: 4, Service: 200 * time.Millisecond})
+	table.ReportLoad(now, busy, Load{Limit: 4, Service: 100 * time.Millisecond, Inflow: 500_000})
+	table.ReportLoad(now, free, Load{Limit: 4, Service: 200 * time.Millisecond})
 	pick := func(at time.Time, bytes int64) string {
 		return table.Pick(Input{Now: at, Seed: 1, Bytes: bytes}).Node.Name
 	}
@@ -107,7 +107,7 @@
 	table := tableAt("caller", near, far)
 	const target = 200 * time.Millisecond
 	report := func(c *directory.Candidate, failing float64) {
-		table.Told(now, c, Load{Limit: 4, Service: 20 * time.Millisecond, Failing: failing})
+		table.ReportLoad(now, c, Load{Limit: 4, Service: 20 * time.Millisecond, FailureRate: failing})
 	}
 	report(far, 0)
 	report(near, 0.5)
@@ -129,7 +129,7 @@
 	table := tableAt("here", full, near, far)
 	table.LinkBytes = 1e6
 	for _, s := range []*directory.Candidate{full, near, far} {
-		table.Told(now, s, Load{Limit: 4, Service: 20 * time.Millisecond})
+		table.ReportLoad(now, s, Load{Limit: 4, Service: 20 * time.Millisecond})
 	}
 	pick := func(answer int64) string {
 		return table.Pick(Input{Now: now, Seed: 1, Tried: []*directory.Candidate{full}, Target: time.Second, Answer: answer}).Node.Name
@@ -137,6 +137,6 @@
 	c.Check(pick(0), qt.Equals, "far")
 	c.Check(pick(90_000), qt.Equals, "near")
 	// A server whose link has much left to send is avoided all the same.
-	table.Told(now, near, Load{Limit: 4, Service: 20 * time.Millisecond, Outflow: 900_000})
+	table.ReportLoad(now, near, Load{Limit: 4, Service: 20 * time.Millisecond, Outflow: 900_000})
 	c.Check(pick(90_000), qt.Equals, "far")
 }
--- a/internal/request/balance/server.go
+++ b/internal/request/balance/server.go
@@ -68,8 +68,8 @@
 	return l, max(own, weight*reported+(1-weight)*own)
 }
 
-// Told records the load that the daemon on a server's instance reported with an answer.
-func (t *Table) Told(now time.Time, c *directory.Candidate, l Load) {
+// ReportLoad records the load that the daemon on a server's instance reported with an answer.
+func (t *Table) ReportLoad(now time.Time, c *directory.Candidate, l Load) {
 	if s := t.servers[c.Server.Addr]; s != nil {
 		s.load, s.loadAt, s.sentSinceLoad = l, now, 0
 		s.inflow, s.inflowAt = float64(l.Inflow), now
@@ -78,12 +78,12 @@
 	}
 }
 
-// End is the outcome of an attempt.
-type End uint8
+// Outcome is the outcome of an attempt.
+type Outcome uint8
 
 const (
 	// Answered: an answer arrived.
-	Answered End = iota
+	Answered Outcome = iota
 	// Full: the attempt was refused for lack of room.
 	Full
 	// Failed: no answer arrived in time, or it was lost.
@@ -97,7 +97,7 @@
 )
 
 // String returns the text for the log.
-func (e End) String() string {
+func (e Outcome) String() string {
 	switch e {
 	case Answered:
 		return "answered"
@@ -133,7 +133,7 @@
 }
 
 // Ended records the end of an attempt at c.
-func (t *Table) Ended(now time.Time, c *directory.Candidate, end End) {
+func (t *Table) Ended(now time.Time, c *directory.Candidate, end Outcome) {
 	s := t.servers[c.Server.Addr]
 	if s == nil {
 		return
@@ -156,7 +156,7 @@
 }
 
 // eject excludes a server for a while and reports it to t.Ejected.
-func (t *Table) eject(now time.Time, c *directory.Candidate, end End) {
+func (t *Table) eject(now time.Time, c *directory.Candidate, end Outcome) {
 	s := t.servers[c.Server.Addr]
 	if s.ejected(now) {
 		return
--- a/internal/request/flow/flow.go
+++ b/internal/request/flow/flow.go
@@ -37,7 +37,7 @@
 }
 
 // NewService returns a Service without servers.
-func NewService(self balance.Place, local balance.Local) *Service {
+func NewService(self balance.Location, local balance.Local) *Service {
 	return &Service{Table: balance.NewTable(self, local)}
 }
 
@@ -91,16 +91,16 @@
 	Bytes int64
 	// Answer is the expected length of the answer if it is large, else 0.
 	Answer int64
-	// Inherited is the probability that the request was made by a run that was itself a repeat.
-	Inherited float64
+	// RepeatProbability is the probability that the request was made by a run that was itself a repeat.
+	RepeatProbability float64
 	// Pin, if not 0, determines the server: all requests with the same Pin go to the same one.
 	Pin uint64
-	// Arm restricts the first attempt during a roll-out, and Then the others. If Arm has no
-	// usable server, Then applies to the first attempt too.
-	Arm, Then balance.Arm
-	// Otherwise replaces Then once a server refused because its software version accepts no
+	// Arm restricts the first attempt during a roll-out, and RetryArm the others. If Arm has no
+	// usable server, RetryArm applies to the first attempt too.
+	Arm, RetryArm balance.Arm
+	// FallbackArm replaces Then once a server refused because its software version accepts no
 	// new work: a later stage of the roll-out is then in force there than here.
-	Otherwise balance.Arm
+	FallbackArm balance.Arm
 }
 
 type phase uint8
@@ -143,8 +143,8 @@
 	c := &Call{service: s, request: r}
 	c.tried = c.triedBuffer[:0]
 	s.budget.Request(now)
-	if r.Inherited > 0 {
-		s.budget.Charge(now, r.Inherited)
+	if r.RepeatProbability > 0 {
+		s.budget.Charge(now, r.RepeatProbability)
 	}
 	return c, c.try(now, seed, result.NoBackendServer)
 }
@@ -168,14 +168,14 @@
 func (c *Call) pick(now time.Time, seed uint64) *directory.Candidate {
 	in := balance.Input{
 		Now: now, Seed: seed, Tried: c.tried, Pin: c.request.Pin, Target: c.request.Target,
-		Bytes: c.request.Bytes, Answer: c.request.Answer, Arm: c.request.Then,
+		Bytes: c.request.Bytes, Answer: c.request.Answer, Arm: c.request.RetryArm,
 	}
 	if len(c.tried) == 0 && c.request.Arm.Bound {
 		in.Arm = c.request.Arm
 		if picked := c.service.Table.Pick(in); picked != nil {
 			return picked
 		}
-		in.Arm = c.request.Then
+		in.Arm = c.request.RetryArm
 	}
 	return c.service.Table.Pick(in)
 }
@@ -236,8 +236,8 @@
 	if code.Outcome() != result.NotRun {
 		c.unknownOutcome = code
 	}
-	if code == result.VersionRetired && c.request.Otherwise.Bound && c.current.Server.Version == c.request.Then.Version {
-		c.request.Then = c.request.Otherwise
+	if code == result.VersionRetired && c.request.FallbackArm.Bound && c.current.Server.Version == c.request.RetryArm.Version {
+		c.request.RetryArm = c.request.FallbackArm
 	}
 	if !c.canRetry(now, code) {
 		return c.finish(code)
@@ -245,7 +245,7 @@
 	return c.try(now, seed, code)
 }
 
-func endFor(code result.Code) balance.End {
+func endFor(code result.Code) balance.Outcome {
 	switch code {
 	case result.Overloaded, result.DeadlineTooShort, result.ServerRefused:
 		return balance.Full
--- a/internal/request/flow/flow_test.go
+++ b/internal/request/flow/flow_test.go
@@ -61,7 +61,7 @@
 const slotsPerServer = 2
 
 func newSimulation(t *rapid.T) *simulation {
-	sim := &simulation{t: t, now: time.Unix(1000, 0), service: NewService(balance.Place{Node: "n0", Domain: "d0"}, nil)}
+	sim := &simulation{t: t, now: time.Unix(1000, 0), service: NewService(balance.Location{Node: "n0", Domain: "d0"}, nil)}
 	var candidates []*directory.Candidate
 	for i := range rapid.IntRange(1, 5).Draw(t, "servers") {
 		c := &directory.Candidate{
--- a/internal/request/flow/repeat_test.go
+++ b/internal/request/flow/repeat_test.go
@@ -17,7 +17,7 @@
 func TestDeniedRepeatGoesElsewhere(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := NewService(balance.Place{Node: "n0", Domain: "d0", Region: "r0"}, nil)
+	s := NewService(balance.Location{Node: "n0", Domain: "d0", Region: "r0"}, nil)
 	s.Table.Update(candidatesOf("a@n1/d1/r0 b@n2/d2/r0 c@n3/d3/r0"), 0)
 	s.SetRetryLimits(retry.Limits{Ratio: 0.2, Slack: 1})
 	call, a := s.Begin(now, 1, Request{Deadline: now.Add(time.Second), Repeatable: true, Retries: 1})
@@ -40,11 +40,11 @@
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	for inherited, want := range map[float64]uint64{0: 20, 0.1: 10, 0.2: 0} {
-		s := NewService(balance.Place{Node: "n0", Domain: "d0", Region: "r0"}, nil)
+		s := NewService(balance.Location{Node: "n0", Domain: "d0", Region: "r0"}, nil)
 		s.Table.Update(candidatesOf("a@n1/d1/r0 b@n2/d2/r0"), 0)
 		s.SetRetryLimits(retry.Limits{Ratio: 0.2, Slack: 2, Since: now})
 		for i := range 100 {
-			call, _ := s.Begin(now, uint64(i), Request{Deadline: now.Add(time.Second), Repeatable: true, Retries: 1, Inherited: inherited})
+			call, _ := s.Begin(now, uint64(i), Request{Deadline: now.Add(time.Second), Repeatable: true, Retries: 1, RepeatProbability: inherited})
 			if call.Refused(now, uint64(i), result.AnswerLost, 0).Kind == Try {
 				call.CallerLeft(now)
 			}
--- a/internal/request/flow/rollout_test.go
+++ b/internal/request/flow/rollout_test.go
@@ -15,7 +15,7 @@
 )
 
 func newTwoVersionService() *Service {
-	s := NewService(balance.Place{Node: "n0", Domain: "d0"}, nil)
+	s := NewService(balance.Location{Node: "n0", Domain: "d0"}, nil)
 	var list []*directory.Candidate
 	for i := range 40 {
 		list = append(list, &directory.Candidate{
@@ -36,7 +36,7 @@
 	base, target := balance.Arm{Bound: true, Version: "v1"}, balance.Arm{Bound: true, Version: "v2", First: 3}
 	seen := map[string]bool{}
 	for seed := range uint64(200) {
-		call, a := s.Begin(now, seed, Request{Deadline: now.Add(time.Second), Repeatable: true, Retries: 2, Arm: target, Then: base, Otherwise: balance.Arm{Bound: true, Version: "v2"}})
+		call, a := s.Begin(now, seed, Request{Deadline: now.Add(time.Second), Repeatable: true, Retries: 2, Arm: target, RetryArm: base, FallbackArm: balance.Arm{Bound: true, Version: "v2"}})
 		c.Assert(a.Kind, qt.Equals, Try)
 		c.Check(a.Candidate.Server.Version, qt.Equals, "v2")
 		seen[a.Candidate.Server.Addr] = true
@@ -54,7 +54,7 @@
 	s := newTwoVersionService()
 	now := time.Unix(1000, 0)
 	base := balance.Arm{Bound: true, Version: "v1"}
-	call, a := s.Begin(now, 1, Request{Deadline: now.Add(time.Second), Arm: base, Then: base, Otherwise: balance.Arm{Bound: true, Version: "v2"}})
+	call, a := s.Begin(now, 1, Request{Deadline: now.Add(time.Second), Arm: base, RetryArm: base, FallbackArm: balance.Arm{Bound: true, Version: "v2"}})
 	c.Assert(a.Candidate.Server.Version, qt.Equals, "v1")
 	a = call.Refused(now, 2, result.VersionRetired, 0)
 	c.Assert(a.Kind, qt.Equals, Try)
--- a/internal/request/flow/session_test.go
+++ b/internal/request/flow/session_test.go
@@ -41,7 +41,7 @@
 	s.seed++
 	switch d.Cmd {
 	case "servers":
-		s.service = NewService(balance.Place{Node: "n0", Domain: "d0", Region: "r0"}, nil)
+		s.service = NewService(balance.Location{Node: "n0", Domain: "d0", Region: "r0"}, nil)
 		s.service.Table.Update(candidatesOf(d.Input), 0)
 		return ""
 	case "begin":
--- a/internal/request/link/link.go
+++ b/internal/request/link/link.go
@@ -64,8 +64,8 @@
 // announcement.
 func (c *Core) Expect(bytes int64) { c.expectedBytes += bytes }
 
-// Ahead returns the number of bytes that a new body waits for if all others go first.
-func (c *Core) Ahead() int64 {
+// PendingBytes returns the number of bytes that a new body waits for if all others go first.
+func (c *Core) PendingBytes() int64 {
 	bytes := c.expectedBytes
 	for _, remaining := range c.active {
 		bytes += remaining
@@ -76,8 +76,8 @@
 	return bytes
 }
 
-// Takes returns how long the link needs for a body of the given length, -1 if unknown.
-func (c *Core) Takes(bytes int64) time.Duration {
+// TransferTime returns how long the link needs for a body of the given length, -1 if unknown.
+func (c *Core) TransferTime(bytes int64) time.Duration {
 	return time.Duration(float64(lengthOrDefault(bytes)) / c.rate * float64(time.Second))
 }
 
@@ -89,7 +89,7 @@
 }
 
 // Wait returns how long a new body is expected to wait for those ahead.
-func (c *Core) Wait() time.Duration { return c.Takes(c.Ahead()) }
+func (c *Core) Wait() time.Duration { return c.TransferTime(c.PendingBytes()) }
 
 // Arrive adds a body, with -1 bytes if its length is unknown. It returns the body's
 // ticket id and whether its transfer may start now.
@@ -104,9 +104,9 @@
 	return c.lastID, false
 }
 
-// Went records that a part of a body was transferred. It reports whether the transfer
+// RecordProgress records that a part of a body was transferred. It reports whether the transfer
 // proceeds. If not, the body waits, and the transfer of replacement starts instead.
-func (c *Core) Went(id uint64, bytes int) (proceed bool, replacement uint64) {
+func (c *Core) RecordProgress(id uint64, bytes int) (proceed bool, replacement uint64) {
 	remaining, ok := c.active[id]
 	if !ok {
 		return true, 0
@@ -141,9 +141,9 @@
 	return best
 }
 
-// Leave removes a body, whether it is complete or not, and returns the ticket ids of
+// Remove removes a body, whether it is complete or not, and returns the ticket ids of
 // the bodies whose transfer may start now.
-func (c *Core) Leave(id uint64) []uint64 {
+func (c *Core) Remove(id uint64) []uint64 {
 	delete(c.active, id)
 	c.waiting = slices.DeleteFunc(c.waiting, func(t ticket) bool { return t.id == id })
 	var started []uint64
--- a/internal/request/link/link_test.go
+++ b/internal/request/link/link_test.go
@@ -10,7 +10,7 @@
 func TestBodiesComeInOrder(t *testing.T) {
 	c := qt.New(t)
 	core := New(1000, 2, InOrder)
-	c.Check(core.Takes(500), qt.Equals, 500*time.Millisecond)
+	c.Check(core.TransferTime(500), qt.Equals, 500*time.Millisecond)
 	first, now := core.Arrive(500)
 	c.Check(now, qt.IsTrue)
 	second, now := core.Arrive(500)
@@ -19,14 +19,14 @@
 	c.Check(now, qt.IsFalse)
 	fourth, now := core.Arrive(-1)
 	c.Check(now, qt.IsFalse)
-	core.Went(first, 400)
-	c.Check(core.Ahead(), qt.Equals, int64(100+500+1000+defaultBytes))
-	c.Check(core.Leave(fourth), qt.HasLen, 0)
+	core.RecordProgress(first, 400)
+	c.Check(core.PendingBytes(), qt.Equals, int64(100+500+1000+defaultBytes))
+	c.Check(core.Remove(fourth), qt.HasLen, 0)
 	c.Check(core.Wait(), qt.Equals, 1600*time.Millisecond)
-	c.Check(core.Leave(second), qt.DeepEquals, []uint64{third})
-	c.Check(core.Leave(first), qt.HasLen, 0)
-	c.Check(core.Leave(third), qt.HasLen, 0)
-	c.Check(core.Ahead(), qt.Equals, int64(0))
+	c.Check(core.Remove(second), qt.DeepEquals, []uint64{third})
+	c.Check(core.Remove(first), qt.HasLen, 0)
+	c.Check(core.Remove(third), qt.HasLen, 0)
+	c.Check(core.PendingBytes(), qt.Equals, int64(0))
 }
 
 // TestShorterGoesFirst checks that a body is preempted by one with fewer remaining
@@ -39,16 +39,16 @@
 	c.Check(now, qt.IsTrue)
 	middle, _ := core.Arrive(700)
 	short, _ := core.Arrive(200)
-	c.Check(core.Ahead(), qt.Equals, int64(2200))
-	goesOn, instead := core.Went(long, 100)
+	c.Check(core.PendingBytes(), qt.Equals, int64(2200))
+	goesOn, instead := core.RecordProgress(long, 100)
 	c.Check(goesOn, qt.IsFalse)
 	c.Check(instead, qt.Equals, short)
-	goesOn, _ = core.Went(short, 100)
+	goesOn, _ = core.RecordProgress(short, 100)
 	c.Check(goesOn, qt.IsTrue)
-	c.Check(core.Leave(short), qt.DeepEquals, []uint64{middle})
-	c.Check(core.Leave(middle), qt.DeepEquals, []uint64{long})
+	c.Check(core.Remove(short), qt.DeepEquals, []uint64{middle})
+	c.Check(core.Remove(middle), qt.DeepEquals, []uint64{long})
 	core.Expect(-300)
-	c.Check(core.Ahead(), qt.Equals, int64(900))
+	c.Check(core.PendingBytes(), qt.Equals, int64(900))
 }
 
 func TestLengths(t *testing.T) {
--- a/internal/request/quarantine/core.go
+++ b/internal/request/quarantine/core.go
@@ -17,16 +17,16 @@
 	firstLost, detected time.Time
 }
 
-// Fate is how a run ended.
-type Fate uint8
+// Outcome is how a run ended.
+type Outcome uint8
 
 const (
-	// Well: the server sent a whole answer.
-	Well Fate = iota + 1
-	// GivenUp: the run was ended by this daemon or never reached the server.
-	GivenUp
-	// Lost: the server closed the connection.
-	Lost
+	// Completed: the server sent a whole answer.
+	Completed Outcome = iota + 1
+	// Aborted: the run was ended by this daemon or never reached the server.
+	Aborted
+	// ConnectionLost: the server closed the connection.
+	ConnectionLost
 )
 
 // run is one request in progress on a server of this daemon's instance.
@@ -63,8 +63,8 @@
 // Learn replaces the reports of the other daemons.
 func (c *Core) Learn(reports []Suspect) { c.ledger.setRemoteReports(reports) }
 
-// Quiet reports whether there are no reports at all.
-func (c *Core) Quiet() bool { return c.ledger.empty() }
+// Empty reports whether there are no reports at all.
+func (c *Core) Empty() bool { return c.ledger.empty() }
 
 // Known returns the number of suspects.
 func (c *Core) Known(now time.Time) int { return c.ledger.count(now) }
@@ -72,9 +72,9 @@
 // Judge returns how a request may run.
 func (c *Core) Judge(now time.Time, f Fingerprint) Verdict { return c.ledger.judge(now, f) }
 
-// Told records that another daemon observed a crash while the request was in progress,
+// ReportRemoteCrash records that another daemon observed a crash while the request was in progress,
 // alone or not. It reports whether that was new.
-func (c *Core) Told(now time.Time, f Fingerprint, alone bool) bool {
+func (c *Core) ReportRemoteCrash(now time.Time, f Fingerprint, alone bool) bool {
 	return c.ledger.addRemoteCrash(now, f, alone)
 }
 
@@ -92,9 +92,9 @@
 	return c.nextID
 }
 
-// Drop records that the server closed a run's connection. The caller must then find
+// RecordConnectionLoss records that the server closed a run's connection. The caller must then find
 // out whether the server crashed, and call End.
-func (c *Core) Drop(now time.Time, addr string, id uint64) {
+func (c *Core) RecordConnectionLoss(now time.Time, addr string, id uint64) {
 	if r := c.servers[addr][id]; r != nil {
 		r.lostAt = now
 	}
@@ -103,17 +103,17 @@
 // End records the end of a run. For a Lost run, listening tells whether the server
 // still accepts connections. End reports whether the server crashed, and whether the
 // reports have changed.
-func (c *Core) End(now time.Time, addr string, id uint64, fate Fate, listening bool) (crashed, changed bool) {
+func (c *Core) End(now time.Time, addr string, id uint64, fate Outcome, listening bool) (crashed, changed bool) {
 	r := c.servers[addr][id]
 	if r == nil {
 		return false, false
 	}
 	switch {
-	case fate == Well && (r.alone || r.reported):
+	case fate == Completed && (r.alone || r.reported):
 		changed = c.ledger.clear(now, r.identity.Fingerprint())
-	case fate == Lost && r.reported:
+	case fate == ConnectionLost && r.reported:
 		crashed = true
-	case fate == Lost && (!listening || !c.ledger.cfg.SlowRestart && c.hasRestarted(addr)):
+	case fate == ConnectionLost && (!listening || !c.ledger.cfg.SlowRestart && c.hasRestarted(addr)):
 		crashed, changed = true, true
 		c.reportCrash(now, addr)
 	}
--- a/internal/request/quarantine/core_test.go
+++ b/internal/request/quarantine/core_test.go
@@ -90,7 +90,7 @@
 
 func (f *fleet) runEvent(daemon, event, request string) string {
 	core, run := f.cores[daemon], daemon+request
-	end := func(fate quarantine.Fate, listening bool) string {
+	end := func(fate quarantine.Outcome, listening bool) string {
 		crashed, changed := core.End(f.now, daemon, f.runIDs[run], fate, listening)
 		return fmt.Sprintf("crashed %t, changed %t", crashed, changed)
 	}
@@ -99,16 +99,16 @@
 		f.runIDs[run] = core.Begin(f.now, daemon, identity(request), event == "alone")
 		return "runs"
 	case "drop":
-		core.Drop(f.now, daemon, f.runIDs[run])
+		core.RecordConnectionLoss(f.now, daemon, f.runIDs[run])
 		return "lost its connection"
 	case "well":
-		return end(quarantine.Well, true)
+		return end(quarantine.Completed, true)
 	case "left":
-		return end(quarantine.GivenUp, true)
+		return end(quarantine.Aborted, true)
 	case "lost":
-		return end(quarantine.Lost, false)
+		return end(quarantine.ConnectionLost, false)
 	case "cut":
-		return end(quarantine.Lost, true)
+		return end(quarantine.ConnectionLost, true)
 	}
 	switch v := core.Judge(f.now, fingerprint(request)); v.Mode {
 	case quarantine.Alone:
--- a/internal/request/quarantine/crash_test.go
+++ b/internal/request/quarantine/crash_test.go
@@ -19,21 +19,21 @@
 			at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 			// A first crash makes both requests suspects.
 			a, b := core.Begin(at(0), "s1", identity("culprit"), false), core.Begin(at(0), "s1", identity("innocent"), false)
-			core.Drop(at(10), "s1", a)
-			core.End(at(60), "s1", a, quarantine.Lost, false)
-			core.Drop(at(10), "s1", b)
-			core.End(at(60), "s1", b, quarantine.Lost, false)
+			core.RecordConnectionLoss(at(10), "s1", a)
+			core.End(at(60), "s1", a, quarantine.ConnectionLost, false)
+			core.RecordConnectionLoss(at(10), "s1", b)
+			core.End(at(60), "s1", b, quarantine.ConnectionLost, false)
 			// The crashing request runs alone; the harmless one starts on a connection that is still open.
 			culprit := core.Begin(at(100), "s2", identity("culprit"), true)
-			core.Drop(at(110), "s2", culprit)
+			core.RecordConnectionLoss(at(110), "s2", culprit)
 			innocent := core.Begin(at(111), "s2", identity("innocent"), true)
-			core.Drop(at(112), "s2", innocent)
+			core.RecordConnectionLoss(at(112), "s2", innocent)
 			order := []uint64{culprit, innocent}
 			if innocentEndsFirst {
 				order = []uint64{innocent, culprit}
 			}
 			for _, run := range order {
-				core.End(at(160), "s2", run, quarantine.Lost, false)
+				core.End(at(160), "s2", run, quarantine.ConnectionLost, false)
 			}
 			c.Check(core.Judge(at(200), fingerprint("culprit")).Mode, qt.Equals, quarantine.Refused)
 			c.Check(core.Judge(at(200), fingerprint("innocent")).Mode, qt.Equals, quarantine.Alone)
@@ -50,15 +50,15 @@
 		cfg.SlowRestart = slow
 		core := quarantine.New(cfg)
 		a, b := core.Begin(start, "s", identity("a"), false), core.Begin(start, "s", identity("b"), false)
-		core.Drop(start, "s", a)
-		core.Drop(start, "s", b)
+		core.RecordConnectionLoss(start, "s", a)
+		core.RecordConnectionLoss(start, "s", b)
 		for _, run := range []uint64{a, b} {
-			core.End(start, "s", run, quarantine.Lost, true)
+			core.End(start, "s", run, quarantine.ConnectionLost, true)
 		}
 		c.Check(core.Judge(start, fingerprint("a")).Mode, qt.Equals, want, qt.Commentf("slow restart %t", slow))
 		lost := core.Begin(start, "s", identity("c"), false)
-		core.Drop(start, "s", lost)
-		core.End(start, "s", lost, quarantine.Lost, false)
+		core.RecordConnectionLoss(start, "s", lost)
+		core.End(start, "s", lost, quarantine.ConnectionLost, false)
 		c.Check(core.Judge(start, fingerprint("c")).Mode, qt.Equals, quarantine.Alone)
 	}
 }
--- a/internal/request/quarantine/excuse.go
+++ b/internal/request/quarantine/excuse.go
@@ -57,7 +57,7 @@
 		if when := l.cfg.crashTime(&r); when.After(at) {
 			at = when
 		}
-		if !r.Told {
+		if !r.ObservedElsewhere {
 			by[r.Source] = true
 		}
 	}
@@ -67,7 +67,7 @@
 func (l *ledger) ownCrashTimes() []time.Time {
 	var times []time.Time
 	for _, r := range l.own {
-		if r.Crashes > 0 && !r.Told {
+		if r.Crashes > 0 && !r.ObservedElsewhere {
 			times = append(times, l.cfg.crashTime(&r))
 		}
 	}
--- a/internal/request/quarantine/ledger.go
+++ b/internal/request/quarantine/ledger.go
@@ -16,8 +16,8 @@
 	Crashes uint8
 	// Until is when the report expires.
 	Until time.Time
-	// Told is set if the crash was observed by another daemon.
-	Told bool
+	// ObservedElsewhere is set if the crash was observed by another daemon.
+	ObservedElsewhere bool
 	// Source is the name of the reporting daemon; "" is this one.
 	Source string
 }
@@ -124,7 +124,7 @@
 	l.others, l.crashTimes = map[Fingerprint][]Suspect{}, map[string][]time.Time{}
 	for _, r := range reports {
 		l.others[r.Fingerprint] = append(l.others[r.Fingerprint], r)
-		if r.Crashes > 0 && !r.Told {
+		if r.Crashes > 0 && !r.ObservedElsewhere {
 			l.crashTimes[r.Source] = append(l.crashTimes[r.Source], l.cfg.crashTime(&r))
 		}
 	}
@@ -172,7 +172,7 @@
 	if !until.After(cleared) {
 		until = cleared.Add(time.Millisecond)
 	}
-	l.store(now, Suspect{Fingerprint: f, Crashes: crashes, Until: until, Told: remote})
+	l.store(now, Suspect{Fingerprint: f, Crashes: crashes, Until: until, ObservedElsewhere: remote})
 }
 
 // addRemoteCrash reports a crash that another daemon observed, unless it is known, and
