--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -153,7 +153,7 @@
 	if err != nil || answer.Rollout == nil {
 		return nil, err
 	}
-	return []fleet.RolloutLine{answer.Rollout.Line()}, nil
+	return []fleet.RolloutLine{answer.Rollout.Summary()}, nil
 }
 
 func newRolloutStatus() *cobra.Command {
@@ -186,7 +186,7 @@
 
 func printRollout(w io.Writer, r *fleet.Rollout) {
 	if r != nil {
-		printRollouts(w, []fleet.RolloutLine{r.Line()})
+		printRollouts(w, []fleet.RolloutLine{r.Summary()})
 	}
 }
 
--- a/internal/connection/announce/server.go
+++ b/internal/connection/announce/server.go
@@ -114,8 +114,8 @@
 	router := mux.NewRouter()
 	router.HandleFunc(ServersPath, s.servePut).Methods(http.MethodPut)
 	router.HandleFunc(ServersPath, s.serveDelete).Methods(http.MethodDelete)
-	router.NotFoundHandler = result.Refuse(result.UnknownResource)
-	router.MethodNotAllowedHandler = result.Refuse(result.WrongMethod)
+	router.NotFoundHandler = result.RefuseHandler(result.UnknownResource)
+	router.MethodNotAllowedHandler = result.RefuseHandler(result.WrongMethod)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !sameInstance(r) {
 			result.WriteHTTP(w, result.Errorf(result.AnnounceRemote, "from %s", r.RemoteAddr))
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -98,7 +98,7 @@
 	if !ok {
 		return verdictOf(o.peek(ctx, c))
 	}
-	step := once.Open(reply, o.cfg.IsAlive)
+	step := once.ClaimStep(reply, o.cfg.IsAlive)
 	if step.Refusal == nil && step.Replay == nil {
 		o.granted.Store(r, claims.Command{ID: c.ID, Token: c.Token})
 	}
@@ -142,7 +142,7 @@
 	if reply.Verdict == once.NotHeld || reply.Verdict == once.Mismatch || reply.Owner == c.Token {
 		return once.Unavailable()
 	}
-	return once.Open(reply, o.cfg.IsAlive)
+	return once.ClaimStep(reply, o.cfg.IsAlive)
 }
 
 // beginOutage suspends claims for a while and releases a claim that may have been
@@ -184,7 +184,7 @@
 	}
 	c := grantedCommand.(claims.Command)
 	c.Kind = claims.KindRelease
-	if c.Answer = once.Close(s.Code, storedForm(s.Response)); c.Answer != nil {
+	if c.Answer = once.AnswerToRecord(s.Code, storedForm(s.Response)); c.Answer != nil {
 		c.Kind = claims.KindAnswer
 	}
 	o.enqueue(c)
--- a/internal/connection/gateway/repeats.go
+++ b/internal/connection/gateway/repeats.go
@@ -80,7 +80,7 @@
 		if len(t.verdicts) >= maxVerdicts {
 			clear(t.verdicts)
 		}
-		v = originVerdict{fromAllServices: t.origins.Everywhere(now, route, dir.Servers(route.Mesh)), computedAt: now}
+		v = originVerdict{fromAllServices: t.origins.IsExternal(now, route, dir.Servers(route.Mesh)), computedAt: now}
 		t.verdicts[route] = v
 	}
 	return v.fromAllServices
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -43,7 +43,7 @@
 // daemon on the server's instance refuses requests from a daemon that does not know the
 // latest stage yet.
 func (g *Gateway) acceptsVersion(s *presence.Server) bool {
-	return g.cfg.Directory().Snapshot.Takes(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}, s.Version)
+	return g.cfg.Directory().Snapshot.AcceptsNewRequests(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}, s.Version)
 }
 
 // runningRollout returns the undecided rollout of a service, or nil.
@@ -65,8 +65,8 @@
 	switch {
 	case r == nil:
 		s.account = nil
-	case s.account != nil && s.account.Of(r):
-		s.account.Enter(r)
+	case s.account != nil && s.account.IsFor(r):
+		s.account.SetRollout(r)
 	default:
 		s.account = canary.NewAccount(r, g.cfg.Rollout.Budget, g.slackCredit(dir, r))
 	}
@@ -118,9 +118,9 @@
 	s.mu.Lock()
 	var bad uint64
 	if s.account != nil {
-		before := s.account.Bad()
+		before := s.account.TargetFailures()
 		s.account.Answered(canary.Answer{Route: x.route.Name, Version: to.Server.Version, Server: to.Server.Addr, Failed: failed, Took: took})
-		bad = s.account.Bad() - before
+		bad = s.account.TargetFailures() - before
 	}
 	s.mu.Unlock()
 	if bad > 0 {
@@ -175,9 +175,9 @@
 		s := g.service(key)
 		s.mu.Lock()
 		g.updateRollout(s, dir, r)
-		known := s.account != nil && s.account.Of(r)
+		known := s.account != nil && s.account.IsFor(r)
 		if known {
-			t.Tally, t.Tripped = s.account.Tally(), s.account.Tripped()
+			t.Tally, t.Tripped = s.account.Tally(), s.account.StopReason()
 		}
 		s.mu.Unlock()
 		if known {
--- a/internal/connection/operator/handler.go
+++ b/internal/connection/operator/handler.go
@@ -86,8 +86,8 @@
 	if cfg.Metrics != nil {
 		router.Handle(MetricsPath, cfg.Metrics).Methods(http.MethodGet)
 	}
-	router.NotFoundHandler = result.Refuse(result.UnknownResource)
-	router.MethodNotAllowedHandler = result.Refuse(result.WrongMethod)
+	router.NotFoundHandler = result.RefuseHandler(result.UnknownResource)
+	router.MethodNotAllowedHandler = result.RefuseHandler(result.WrongMethod)
 	return a.admit(router)
 }
 
--- a/internal/process/claims/sources_test.go
+++ b/internal/process/claims/sources_test.go
@@ -197,7 +197,7 @@
 			a.ended = true
 			a.code = rapid.SampledFrom([]result.Code{result.OK, result.AnswerLost, result.BackendRefused}).Draw(t, "code")
 		}
-		answer := once.Close(a.code, &once.Answer{Status: 200})
+		answer := once.AnswerToRecord(a.code, &once.Answer{Status: 200})
 		c := claims.Command{Kind: claims.KindAnswer, Answer: answer}
 		if answer == nil {
 			c.Kind = claims.KindRelease
--- a/internal/process/claims/table_test.go
+++ b/internal/process/claims/table_test.go
@@ -63,7 +63,7 @@
 }
 
 func describe(r once.Reply) string {
-	step := once.Open(r, func(owner once.Token) bool { return owner.Node != "dead" })
+	step := once.ClaimStep(r, func(owner once.Token) bool { return owner.Node != "dead" })
 	switch {
 	case r.Verdict == once.Done:
 		return "done"
@@ -205,7 +205,7 @@
 	r.finished = true
 	code := rapid.SampledFrom([]result.Code{result.OK, result.OK, result.BackendRefused, result.AnswerLost, result.CallerLeft}).Draw(t, "end")
 	body := fmt.Sprintf("answer %d", r.token.Seq)
-	answer := once.Close(code, &once.Answer{Status: 200, Body: []byte(body)})
+	answer := once.AnswerToRecord(code, &once.Answer{Status: 200, Body: []byte(body)})
 	c := claims.Command{Kind: claims.KindRelease, ID: id(r.key), Token: r.token}
 	if answer != nil {
 		c.Kind, c.Answer = claims.KindAnswer, answer
--- a/internal/process/daemon/fleet.go
+++ b/internal/process/daemon/fleet.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return operator.InForce{}, result.Errorf(result.ManifestInvalid, "%v", err)
 	}
-	return operator.InForce{Mesh: mesh, Version: header.Version, Fleet: header.Fleet, Node: d.settings.Node, Manifest: string(text)}, nil
+	return operator.InForce{Mesh: mesh, Version: header.Version, Fleet: header.FleetVersion, Node: d.settings.Node, Manifest: string(text)}, nil
 }
 
 func meshList(meshes []string) string {
--- a/internal/process/daemon/listeners.go
+++ b/internal/process/daemon/listeners.go
@@ -119,7 +119,7 @@
 		handlers["control"] = d.platform.Control(platformControl{d, d.servers})
 		handlers["health"] = d.platform.Health(d.NotReady)
 	} else {
-		handlers["health"] = telemetry.WithHealth(result.Refuse(result.UnknownResource), d.NotReady)
+		handlers["health"] = telemetry.WithHealth(result.RefuseHandler(result.UnknownResource), d.NotReady)
 	}
 	handlers["metrics"] = telemetry.WithHealth(d.metrics, d.NotReady)
 	servers := map[string]*httpServer{}
--- a/internal/process/daemon/retries.go
+++ b/internal/process/daemon/retries.go
@@ -27,7 +27,7 @@
 	// directory is the directory that known was counted in.
 	directory *directory.Directory
 	known     int
-	fleet     retry.Fleet
+	fleet     retry.DaemonCounter
 	limits    retry.Limits
 }
 
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -158,7 +158,7 @@
 		case <-ticker.C:
 		}
 		snap := d.mesh.Directory().Snapshot
-		if !snap.RolloutRuns() {
+		if !snap.RolloutInProgress() {
 			reporter.leader = ""
 			continue
 		}
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -97,7 +97,7 @@
 	switch {
 	case answers < minAnswers:
 		r.waitingFor = fmt.Sprintf("%d answers of the version came, and %d tell something", answers, minAnswers)
-	case r.judge.Doubt() > maxDoubt:
+	case r.judge.EvidenceRatio() > maxDoubt:
 		r.waitingFor = r.doubtDetail()
 	case float64(target.WarmSlots) < r.slotsInUse:
 		r.waitingFor = fmt.Sprintf("its servers have %d slots, the work takes %.0f", target.WarmSlots, r.slotsInUse)
@@ -139,7 +139,7 @@
 	case !r.stageConfirmed(now, f):
 		r.waitingFor = "not every daemon has confirmed it"
 		return source.RolloutStep{}, false
-	case r.judge.Doubt() > maxDoubt:
+	case r.judge.EvidenceRatio() > maxDoubt:
 		r.waitingFor = r.doubtDetail()
 		return source.RolloutStep{}, false
 	case now.Sub(r.stageEnteredAt) < minProofTime:
--- a/internal/process/rollout/sim_test.go
+++ b/internal/process/rollout/sim_test.go
@@ -225,7 +225,7 @@
 	if n.account == nil && r.Stage.Running() {
 		n.account = canary.NewAccount(&r, budget, credit)
 	} else if n.account != nil {
-		n.account.Enter(&r)
+		n.account.SetRollout(&r)
 	}
 }
 
@@ -329,9 +329,9 @@
 	s.after(d, func() {
 		sv.running--
 		if n.account != nil {
-			before := n.account.Bad()
+			before := n.account.TargetFailures()
 			n.account.Answered(canary.Answer{Route: route, Version: sv.version, Server: sv.addr, Failed: failed, Took: d})
-			if n.account.Bad() > before {
+			if n.account.TargetFailures() > before {
 				s.after(125*time.Millisecond, func() { s.send(n) })
 			}
 		}
--- a/internal/process/settings/settings.go
+++ b/internal/process/settings/settings.go
@@ -318,7 +318,7 @@
 func Parse(raw []byte) (Settings, error) {
 	var s Settings
 	doc := strictyaml.Decode(raw, MaxBytes, &s)
-	if doc.Whole() {
+	if doc.Parsed() {
 		s.check(doc)
 	}
 	return s, doc.Err()
--- a/internal/process/source/command.go
+++ b/internal/process/source/command.go
@@ -78,7 +78,7 @@
 	o := &decodedOrder{submitted: c.Submitted.UTC(), base: c.Base}
 	switch c.Format {
 	case formatManifest:
-		r, err := fleet.Whole(&c.Manifest)
+		r, err := fleet.FullRevision(&c.Manifest)
 		if err != nil {
 			return nil, result.Errorf(result.StateDiverged, "%v", err)
 		}
--- a/internal/process/source/machine.go
+++ b/internal/process/source/machine.go
@@ -183,7 +183,7 @@
 
 // nextState returns the state and the manifest text that result from an order.
 func (m *stateMachine) nextState(o *decodedOrder) (*fleet.State, *manifestText, error) {
-	next, err := m.state.Take(o.revision)
+	next, err := m.state.ApplyRevision(o.revision)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/request/canary/account.go
+++ b/internal/request/canary/account.go
@@ -69,11 +69,11 @@
 	return &Account{budget: b, rollout: *r, credit: float64(credit), tally: Tally{Routes: map[string]*Pair{}, Servers: map[string]Server{}}}
 }
 
-// Of reports whether the account belongs to the roll-out r.
-func (a *Account) Of(r *fleet.Rollout) bool { return a.rollout.Number == r.Number }
+// IsFor reports whether the account belongs to the roll-out r.
+func (a *Account) IsFor(r *fleet.Rollout) bool { return a.rollout.Number == r.Number }
 
-// Enter updates the account to the current stage of the roll-out.
-func (a *Account) Enter(r *fleet.Rollout) { a.rollout = *r }
+// SetRollout updates the account to the current stage of the roll-out.
+func (a *Account) SetRollout(r *fleet.Rollout) { a.rollout = *r }
 
 // Choose returns the arms for the first attempt of a request on a route and for the others.
 // leaderHeard tells whether the leader was heard of recently: otherwise the daemon cannot
@@ -189,11 +189,11 @@
 	}
 }
 
-// Bad returns the number of failures of the target version.
-func (a *Account) Bad() uint64 { return a.targetFailures }
+// TargetFailures returns the number of failures of the target version.
+func (a *Account) TargetFailures() uint64 { return a.targetFailures }
 
-// Tripped returns why this daemon no longer sends requests to the target version, or "".
-func (a *Account) Tripped() string { return a.tripped }
+// StopReason returns why this daemon no longer sends requests to the target version, or "".
+func (a *Account) StopReason() string { return a.tripped }
 
 // Tally returns a copy of the counts.
 func (a *Account) Tally() Tally {
--- a/internal/request/canary/account_test.go
+++ b/internal/request/canary/account_test.go
@@ -42,7 +42,7 @@
 			a := accounts[n]
 			if i == 1500 {
 				for _, other := range accounts {
-					other.Enter(rolloutIn(fleet.Proof))
+					other.SetRollout(rolloutIn(fleet.Proof))
 				}
 			}
 			route := []string{"a", "b", "c"}[i%5%3]
@@ -116,9 +116,9 @@
 			c := qt.New(t)
 			a := canary.NewAccount(rolloutIn(fleet.Canary), budget, 0)
 			addAnswers(a, 0, row.good, 0, 0, row.server)
-			c.Check(a.Tripped(), qt.Equals, "")
+			c.Check(a.StopReason(), qt.Equals, "")
 			addAnswers(a, 0, 100, row.failEach, row.slowEach, row.server)
-			c.Check(a.Tripped() != "", qt.Equals, row.trips, qt.Commentf("%s", a.Tripped()))
+			c.Check(a.StopReason() != "", qt.Equals, row.trips, qt.Commentf("%s", a.StopReason()))
 		})
 	}
 }
--- a/internal/request/lineage/lineage_test.go
+++ b/internal/request/lineage/lineage_test.go
@@ -31,7 +31,7 @@
 	called, public := Route{"m", "called"}, Route{"m", "public"}
 	two := map[string]int{"a": 7, "b": 3}
 	var o Origins
-	c.Check(o.Everywhere(now, public, two), qt.IsFalse)
+	c.Check(o.IsExternal(now, public, two), qt.IsFalse)
 	for range 70 {
 		o.Note(now, called, "a")
 		o.Note(now, public, "a")
@@ -40,15 +40,15 @@
 		o.Note(now, public, "b")
 	}
 	o.Note(now, called, "b")
-	c.Check(o.Everywhere(now, called, two), qt.IsFalse, qt.Commentf("a single request of an operator does not count as a caller"))
-	c.Check(o.Everywhere(now, public, two), qt.IsTrue)
-	c.Check(o.Everywhere(now, public, map[string]int{"a": 7, "b": 3, "c": 1}), qt.IsFalse)
-	c.Check(o.Everywhere(now, public, map[string]int{"a": 7}), qt.IsFalse, qt.Commentf("it cannot be decided with a single service"))
+	c.Check(o.IsExternal(now, called, two), qt.IsFalse, qt.Commentf("a single request of an operator does not count as a caller"))
+	c.Check(o.IsExternal(now, public, two), qt.IsTrue)
+	c.Check(o.IsExternal(now, public, map[string]int{"a": 7, "b": 3, "c": 1}), qt.IsFalse)
+	c.Check(o.IsExternal(now, public, map[string]int{"a": 7}), qt.IsFalse, qt.Commentf("it cannot be decided with a single service"))
 	later := now.Add(2 * originDecay)
 	for range 30 {
 		o.Note(later, public, "a")
 	}
-	c.Check(o.Everywhere(later, public, two), qt.IsFalse, qt.Commentf("the requests from one service have decayed"))
+	c.Check(o.IsExternal(later, public, two), qt.IsFalse, qt.Commentf("the requests from one service have decayed"))
 }
 
 func TestOriginsAreBounded(t *testing.T) {
--- a/internal/request/lineage/origins.go
+++ b/internal/request/lineage/origins.go
@@ -55,11 +55,11 @@
 	}
 }
 
-// Everywhere reports whether requests on a route come from the instances of all services, in
+// IsExternal reports whether requests on a route come from the instances of all services, in
 // about equal numbers per instance; instances holds the number of instances by service. If
 // so, they are sent by external callers and only a part are calls of backend servers. With
 // a single service this cannot be decided, and it reports false.
-func (o *Origins) Everywhere(now time.Time, route Route, instances map[string]int) bool {
+func (o *Origins) IsExternal(now time.Time, route Route, instances map[string]int) bool {
 	if len(instances) < 2 {
 		return false
 	}
--- a/internal/request/once/decide.go
+++ b/internal/request/once/decide.go
@@ -26,9 +26,9 @@
 	Replay *Answer
 }
 
-// Open returns the step for the reply to a claim. ownerAlive reports whether the
+// ClaimStep returns the step for the reply to a claim. ownerAlive reports whether the
 // process of the owner of a held claim is alive.
-func Open(reply Reply, ownerAlive func(Token) bool) Step {
+func ClaimStep(reply Reply, ownerAlive func(Token) bool) Step {
 	switch reply.Verdict {
 	case Granted:
 		return Step{}
@@ -66,11 +66,11 @@
 	return Step{Refusal: result.Errorf(code, "%s", code.Meaning()), RetryAfter: retryAfter}
 }
 
-// Close returns the answer to record for a run that ended with code, or nil if the
+// AnswerToRecord returns the answer to record for a run that ended with code, or nil if the
 // claim is to be released because the request has certainly not run. answer is the
 // whole answer of the backend server; nil with result.OK means that it was too large
 // to be kept.
-func Close(code result.Code, answer *Answer) *Answer {
+func AnswerToRecord(code result.Code, answer *Answer) *Answer {
 	switch {
 	case code.Outcome() == result.NotRun:
 		return nil
--- a/internal/request/retry/budget_test.go
+++ b/internal/request/retry/budget_test.go
@@ -81,7 +81,7 @@
 // partitioned from each other: none may use the whole slack.
 func TestCutOffDaemonKeepsItsPart(t *testing.T) {
 	c := qt.New(t)
-	var f Fleet
+	var f DaemonCounter
 	now := time.Unix(1000, 0)
 	c.Check(f.Daemons(now, 0), qt.Equals, 1)
 	c.Check(f.Daemons(now, 10), qt.Equals, 10)
--- a/internal/result/http.go
+++ b/internal/result/http.go
@@ -58,9 +58,9 @@
 	h.Set(HeaderOutcome, c.Outcome().String())
 }
 
-// Refuse returns a handler that responds to every request with the given code, for
+// RefuseHandler returns a handler that responds to every request with the given code, for
 // unknown paths and methods of a router.
-func Refuse(code Code) http.Handler {
+func RefuseHandler(code Code) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		WriteHTTP(w, Errorf(code, "%s %s", r.Method, r.URL.Path))
 	})
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -38,9 +38,9 @@
 	return d
 }
 
-// Whole reports whether the text could be parsed. If not, checks of the decoded values
+// Parsed reports whether the text could be parsed. If not, checks of the decoded values
 // are meaningless.
-func (d *Document) Whole() bool { return len(d.positions) > 0 }
+func (d *Document) Parsed() bool { return len(d.positions) > 0 }
 
 func setDefaults(v reflect.Value) {
 	if defaulter, ok := v.Interface().(Defaulter); ok {
--- a/internal/version/directory/builder.go
+++ b/internal/version/directory/builder.go
@@ -97,7 +97,7 @@
 
 func (b *Builder) allows(key snapshot.ServiceKey, server *presence.Server) bool {
 	service := b.snapshot.Service(key)
-	if service == nil || !b.snapshot.Admits(key, server.Version) {
+	if service == nil || !b.snapshot.Selectable(key, server.Version) {
 		return false
 	}
 	addr, err := netip.ParseAddrPort(server.Addr)
--- a/internal/version/fleet/fleet.go
+++ b/internal/version/fleet/fleet.go
@@ -58,8 +58,8 @@
 	Content uint64 `cbor:"2,keyasint"`
 	// Hosts are the host names of the mesh.
 	Hosts []string `cbor:"3,keyasint,omitempty"`
-	// Fleet is the fleet version in which this manifest was accepted.
-	Fleet uint64 `cbor:"4,keyasint"`
+	// FleetVersion is the fleet version in which this manifest was accepted.
+	FleetVersion uint64 `cbor:"4,keyasint"`
 	// Limits restrict what callers may send.
 	Limits manifest.Limits `cbor:"5,keyasint,omitempty"`
 }
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.Take(r)
+	return s.ApplyRevision(r)
 }
 
 // stateBuilder builds a new State.
--- a/internal/version/fleet/revision.go
+++ b/internal/version/fleet/revision.go
@@ -67,8 +67,8 @@
 	return r, nil
 }
 
-// Whole returns a revision to m without a base: it holds every service and route.
-func Whole(m *manifest.Manifest) (*Revision, error) { return Empty().Revise(m) }
+// FullRevision returns a revision to m without a base: it holds every service and route.
+func FullRevision(m *manifest.Manifest) (*Revision, error) { return Empty().Revise(m) }
 
 func (r *Revision) addChange(k Key, old, value []byte) {
 	r.Changes = append(r.Changes, Change{Key: k, Value: value})
@@ -100,9 +100,9 @@
 	return all, nil
 }
 
-// Take returns the state after applying r, or ErrBase, ErrForeignResource or ErrHash. It
+// ApplyRevision returns the state after applying r, or ErrBase, ErrForeignResource or ErrHash. It
 // does not modify s.
-func (s *State) Take(r *Revision) (*State, error) {
+func (s *State) ApplyRevision(r *Revision) (*State, error) {
 	header, _ := s.Mesh(r.Mesh)
 	if r.Base != 0 && r.Base != header.Content {
 		return nil, errors.Wrapf(ErrBase, "base is %x, current manifest is %x", r.Base, header.Content)
@@ -124,7 +124,7 @@
 	if sum := next.meshHashes[r.Mesh]; sum != r.Sum {
 		return nil, errors.Wrapf(ErrHash, "services and routes of version %d: got %x, want %x", r.Version, sum, r.Sum)
 	}
-	raw, err := encMode.Marshal(MeshHeader{Version: r.Version, Content: r.Content, Hosts: r.Hosts, Fleet: next.Version, Limits: r.Limits})
+	raw, err := encMode.Marshal(MeshHeader{Version: r.Version, Content: r.Content, Hosts: r.Hosts, FleetVersion: next.Version, Limits: r.Limits})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode header")
 	}
--- a/internal/version/fleet/rollout.go
+++ b/internal/version/fleet/rollout.go
@@ -126,8 +126,8 @@
 	Why     string    `cbor:"7,keyasint,omitempty" json:"why,omitempty"`
 }
 
-// Line returns the summary of the rollout for the history.
-func (r *Rollout) Line() RolloutLine {
+// Summary returns the summary of the rollout for the history.
+func (r *Rollout) Summary() RolloutLine {
 	return RolloutLine{Number: r.Number, Version: r.Version, Target: r.Target, Stage: r.Stage, Ordered: r.Ordered, Ended: r.Ended, Why: r.Why}
 }
 
@@ -140,15 +140,15 @@
 	}
 	if r.Number > 0 {
 		past := r.Past[max(len(r.Past)-MaxPast+1, 0):]
-		next.Past = append(slices.Clone(past), r.Line())
+		next.Past = append(slices.Clone(past), r.Summary())
 	}
 	return next
 }
 
-// Admits reports whether servers of a software version may be selected for requests.
+// Selectable reports whether servers of a software version may be selected for requests.
 // In Handover the previous version may still be selected: a daemon that is still in
 // Handover after others have rolled back must be able to find its servers.
-func (r *Rollout) Admits(version string) bool {
+func (r *Rollout) Selectable(version string) bool {
 	switch r.Stage {
 	case Canary, Proof, Handover:
 		return version == r.Version || version == r.Target
@@ -158,11 +158,11 @@
 	return version == r.Version
 }
 
-// Takes reports whether servers of a software version accept new requests. It differs
+// AcceptsNewRequests reports whether servers of a software version accept new requests. It differs
 // from Admits in Handover, where the previous version accepts none. The daemon that a
 // server is announced to enforces it, whatever stage the sender of the request is in.
-func (r *Rollout) Takes(version string) bool {
-	return r.Admits(version) && (r.Stage != Handover || version == r.Target)
+func (r *Rollout) AcceptsNewRequests(version string) bool {
+	return r.Selectable(version) && (r.Stage != Handover || version == r.Target)
 }
 
 // Serving returns the software version that serves while no rollout is in progress.
--- a/internal/version/manifest/parse.go
+++ b/internal/version/manifest/parse.go
@@ -16,7 +16,7 @@
 func Parse(raw []byte) (*Manifest, error) {
 	var m Manifest
 	doc := strictyaml.Decode(raw, MaxBytes, &m)
-	if doc.Whole() {
+	if doc.Parsed() {
 		m.check(doc)
 	}
 	if err := doc.Err(); err != nil {
--- a/internal/version/snapshot/rollout.go
+++ b/internal/version/snapshot/rollout.go
@@ -22,15 +22,15 @@
 // are not known.
 func (s *Snapshot) Rollout(k ServiceKey) *fleet.Rollout { return s.rollouts[k] }
 
-// Admits reports whether servers of a software version may be selected for requests.
+// Selectable reports whether servers of a software version may be selected for requests.
 // While the service's versions are not known, every version may.
-func (s *Snapshot) Admits(k ServiceKey, version string) bool {
+func (s *Snapshot) Selectable(k ServiceKey, version string) bool {
 	r := s.rollouts[k]
-	return r == nil || r.Admits(version)
+	return r == nil || r.Selectable(version)
 }
 
-// RolloutRuns reports whether any rollout is in progress.
-func (s *Snapshot) RolloutRuns() bool {
+// RolloutInProgress reports whether any rollout is in progress.
+func (s *Snapshot) RolloutInProgress() bool {
 	for _, r := range s.rollouts {
 		if r.Stage.Running() {
 			return true
@@ -39,10 +39,10 @@
 	return false
 }
 
-// Takes reports whether servers of a software version accept new requests.
-func (s *Snapshot) Takes(k ServiceKey, version string) bool {
+// AcceptsNewRequests reports whether servers of a software version accept new requests.
+func (s *Snapshot) AcceptsNewRequests(k ServiceKey, version string) bool {
 	r := s.rollouts[k]
-	return r == nil || r.Takes(version)
+	return r == nil || r.AcceptsNewRequests(version)
 }
 
 // Rollouts returns the rollout resources of all services. The map must not be modified.
--- a/internal/version/snapshot/snapshot.go
+++ b/internal/version/snapshot/snapshot.go
@@ -135,7 +135,7 @@
 	if previous != nil {
 		old = previous.meshes[mesh]
 	}
-	if old != nil && old.header.Fleet == header.Fleet && old.header.Content == header.Content {
+	if old != nil && old.header.FleetVersion == header.FleetVersion && old.header.Content == header.Content {
 		return old, nil
 	}
 	if old == nil {
