--- a/internal/connection/gateway/caller.go
+++ b/internal/connection/gateway/caller.go
@@ -181,7 +181,7 @@
 	x.recordResponse(resp.StatusCode, complete)
 	if !complete {
 		if !x.r.ProtoAtLeast(1, 1) {
-			graceful.Reset(x.r.Context())
+			graceful.ResetConnection(x.r.Context())
 		}
 		x.settleClaim(Settlement{Code: result.AnswerLost})
 		x.claimed = false
--- a/internal/connection/gateway/forward.go
+++ b/internal/connection/gateway/forward.go
@@ -49,7 +49,7 @@
 func (x *exchange) forward(ctx context.Context, to *directory.Candidate, retry bool) (_ *http.Response, refused *refusal) {
 	out := x.body.outgoing(x.r)
 	left := time.Until(x.deadline)
-	out.Added = http.Header{
+	out.ExtraHeader = http.Header{
 		HeaderTimeout:  {formatMicroseconds(left - min(left/responseMarginDivisor, maxResponseMargin))},
 		HeaderDepth:    {strconv.Itoa(x.caller.Depth)},
 		headerStall:    {formatMicroseconds(x.route.Timeout)},
@@ -60,26 +60,26 @@
 		headerRoute:    {x.route.Name},
 	}
 	if !x.route.Repeatable {
-		out.Added[headerFresh] = []string{"1"}
+		out.ExtraHeader[headerFresh] = []string{"1"}
 	}
 	if x.request.Isolated {
-		out.Added[headerAlone] = []string{"1"}
+		out.ExtraHeader[headerAlone] = []string{"1"}
 	}
 	if x.route.Target > 0 {
-		out.Added[headerUseful] = []string{strconv.FormatInt(time.Until(x.usefulUntil()).Microseconds(), 10)}
+		out.ExtraHeader[headerUseful] = []string{strconv.FormatInt(time.Until(x.usefulUntil()).Microseconds(), 10)}
 	}
 	if x.origin != "" {
-		out.Added[headerOrigin] = []string{x.origin}
+		out.ExtraHeader[headerOrigin] = []string{x.origin}
 	}
 	if p := x.retryHeader(retry); p != "" {
-		out.Added[headerRepeat] = []string{p}
+		out.ExtraHeader[headerRepeat] = []string{p}
 	}
 	if x.fixedDeadline {
-		out.Added[headerFixed] = []string{"1"}
+		out.ExtraHeader[headerFixed] = []string{"1"}
 	}
-	out.Expect, out.IdleAge = x.body.streamed, peerIdleTimeout
-	x.g.link.outbound.recordSmallMessage(int64(len(out.Small)))
-	span := x.g.cfg.Tracer.Send(ctx, HopForward, out.Added)
+	out.Expect, out.MaxIdleAge = x.body.streamed, peerIdleTimeout
+	x.g.link.outbound.recordSmallMessage(int64(len(out.SmallBody)))
+	span := x.g.cfg.Tracer.Send(ctx, HopForward, out.ExtraHeader)
 	span.Set(SpanNode, to.Node.Name)
 	defer func() { span.End(codeOf(refused)) }()
 	resp, failure := x.g.peerPools.pool(to.Node.Addr).RoundTrip(ctx, out)
--- a/internal/connection/gateway/serve.go
+++ b/internal/connection/gateway/serve.go
@@ -118,14 +118,14 @@
 // sendToBackend sends a request that holds its slot to the backend server.
 func (g *Gateway) sendToBackend(ctx context.Context, b *backend, req *backendRequest) (*http.Response, *refusal) {
 	out := req.body.outgoing(req.request.HTTP)
-	out.Added = g.cfg.Dialect.Server(ServerMetadata{
+	out.ExtraHeader = g.cfg.Dialect.Server(ServerMetadata{
 		Left: time.Until(req.deadline), Depth: req.depth + 1, Boot: req.boot, Origin: req.origin,
 	})
-	out.IdleAge = backendIdleTimeout
+	out.MaxIdleAge = backendIdleTimeout
 	if req.nonRepeatable {
-		out.IdleAge = nonRepeatableIdleAge
+		out.MaxIdleAge = nonRepeatableIdleAge
 	}
-	span := g.cfg.Tracer.Send(ctx, HopBackend, out.Added)
+	span := g.cfg.Tracer.Send(ctx, HopBackend, out.ExtraHeader)
 	span.Set(SpanServer, req.addr)
 	b.countRequest(req.retryProbability)
 	run := g.beginRun(req.addr, req.request)
@@ -192,7 +192,7 @@
 func (b *requestBody) outgoing(r *http.Request) *upstream.Request {
 	out := &upstream.Request{
 		Method: r.Method, Target: requestTarget(r), Host: r.Host,
-		Header: r.Header, Skip: skipHeader(r.Header), Small: b.buffered, Stall: maxStall,
+		Header: r.Header, SkipHeader: skipHeader(r.Header), SmallBody: b.buffered, StallTimeout: maxStall,
 	}
 	if b.streamed {
 		out.Body, out.Length, out.Trailer, out.AbortBody = b, b.contentLength(), r.Trailer, b.abortRead
@@ -209,7 +209,7 @@
 		return newRefusal(result.DeadlineTooShort, f.Error())
 	case expired:
 		return newRefusal(result.DeadlineExceeded, f.Error())
-	case ctx.Err() != nil || errors.Is(f, upstream.ErrBody):
+	case ctx.Err() != nil || errors.Is(f, upstream.ErrRequestBody):
 		return newRefusal(result.CallerLeft, f.Error())
 	case !f.Sent:
 		return newRefusal(unreachable, f.Error())
--- a/internal/connection/graceful/framing.go
+++ b/internal/connection/graceful/framing.go
@@ -90,10 +90,10 @@
 	return false
 }
 
-// Reset makes the connection of a request close with a TCP reset instead of an
+// ResetConnection makes the connection of a request close with a TCP reset instead of an
 // orderly EOF. An HTTP/1.0 client would take a response without a length that
 // ends with EOF as complete.
-func Reset(ctx context.Context) {
+func ResetConnection(ctx context.Context) {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return
--- a/internal/connection/graceful/framing_test.go
+++ b/internal/connection/graceful/framing_test.go
@@ -93,7 +93,7 @@
 	s := startServer(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
-		Reset(r.Context())
+		ResetConnection(r.Context())
 		panic(http.ErrAbortHandler)
 	}))
 	client, err := net.Dial("tcp", s.addr)
@@ -103,5 +103,5 @@
 	c.Assert(err, qt.IsNil)
 	_, err = io.ReadAll(client)
 	c.Check(err, qt.ErrorMatches, ".*connection reset by peer")
-	Reset(context.Background())
+	ResetConnection(context.Background())
 }
--- a/internal/connection/graceful/graceful.go
+++ b/internal/connection/graceful/graceful.go
@@ -55,7 +55,7 @@
 // Listener accepts connections and registers them with a Tracker.
 type Listener struct {
 	net.Listener
-	deadline Deadline
+	deadline DeadlineSetter
 	tracker  *Tracker
 	mu       sync.Mutex
 	// drainStart is when Drain was called; zero before.
@@ -64,12 +64,12 @@
 	done       chan struct{}
 }
 
-// Deadline is the method of *net.TCPListener that Drain needs.
-type Deadline interface{ SetDeadline(time.Time) error }
+// DeadlineSetter is the method of *net.TCPListener that Drain needs.
+type DeadlineSetter interface{ SetDeadline(time.Time) error }
 
 // Listen wraps l. deadline is the TCP listener from which l accepts its
 // connections.
-func (t *Tracker) Listen(l net.Listener, deadline Deadline) *Listener {
+func (t *Tracker) Listen(l net.Listener, deadline DeadlineSetter) *Listener {
 	return &Listener{Listener: l, deadline: deadline, tracker: t, done: make(chan struct{})}
 }
 
@@ -177,10 +177,10 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// Guard wraps a handler. It aborts a pipelined request that was read together
+// WrapHandler wraps a handler. It aborts a pipelined request that was read together
 // with the previous one if the connection has been retired since, and it
 // rejects requests with conflicting framing.
-func (t *Tracker) Guard(next http.Handler) http.Handler {
+func (t *Tracker) WrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
 			if !c.setActive() {
--- a/internal/connection/graceful/graceful_test.go
+++ b/internal/connection/graceful/graceful_test.go
@@ -73,7 +73,7 @@
 	c.Assert(err, qt.IsNil)
 	tracker := NewTracker([]byte(finalResponse))
 	s := &server{addr: inner.Addr().String(), tracker: tracker, listener: tracker.Listen(inner, inner.(*net.TCPListener))}
-	httpServer := &http.Server{Handler: tracker.Guard(handler), ConnState: tracker.ConnState, ConnContext: tracker.ConnContext}
+	httpServer := &http.Server{Handler: tracker.WrapHandler(handler), ConnState: tracker.ConnState, ConnContext: tracker.ConnContext}
 	go func() { _ = httpServer.Serve(s.listener) }()
 	c.Cleanup(func() { _ = httpServer.Close() })
 	return s
--- a/internal/connection/graceful/pending.go
+++ b/internal/connection/graceful/pending.go
@@ -11,7 +11,7 @@
 // nil. On a busy machine there are milliseconds between the expiry of the
 // accept deadline and that close, and connections arriving in between would be
 // reset.
-func acceptPending(listener Deadline) net.Conn {
+func acceptPending(listener DeadlineSetter) net.Conn {
 	sysConn, ok := listener.(syscall.Conn)
 	if !ok {
 		return nil
--- a/internal/connection/limit/listener.go
+++ b/internal/connection/limit/listener.go
@@ -17,8 +17,8 @@
 
 // Config is the immutable configuration of a Listener.
 type Config struct {
-	// Connections is the maximum number of open connections.
-	Connections int
+	// MaxConnections is the maximum number of open connections.
+	MaxConnections int
 	// StallTimeout is the write timeout: it closes a connection to which no
 	// byte could be written for this long.
 	StallTimeout time.Duration
@@ -60,7 +60,7 @@
 func (l *Listener) Refused() uint64 { return l.refused.Load() }
 
 // Limit returns the maximum number of open connections.
-func (l *Listener) Limit() int { return l.cfg.Connections }
+func (l *Listener) Limit() int { return l.cfg.MaxConnections }
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= int64(l.cfg.Connections) {
+		if l.open.Add(1) <= int64(l.cfg.MaxConnections) {
 			return &conn{Conn: c, listener: l}, nil
 		}
 		l.open.Add(-1)
--- a/internal/connection/limit/listener_test.go
+++ b/internal/connection/limit/listener_test.go
@@ -66,7 +66,7 @@
 // connection no longer counts.
 func TestAboveTheLimit(t *testing.T) {
 	c := qt.New(t)
-	l := startServer(c, Config{Connections: 2, StallTimeout: waitTimeout})
+	l := startServer(c, Config{MaxConnections: 2, StallTimeout: waitTimeout})
 	first, second := dial(c, l, okRequest), dial(c, l, okRequest)
 	c.Assert(readResponse(c, first).StatusCode, qt.Equals, http.StatusOK)
 	c.Assert(readResponse(c, second).StatusCode, qt.Equals, http.StatusOK)
@@ -92,7 +92,7 @@
 // handler has none.
 func TestErrorsOfTheServerAreNumbered(t *testing.T) {
 	c := qt.New(t)
-	l := startServer(c, Config{Connections: 100, StallTimeout: waitTimeout})
+	l := startServer(c, Config{MaxConnections: 100, StallTimeout: waitTimeout})
 	for text, want := range map[string]string{
 		"GET /" + strings.Repeat("x", 64<<10) + " HTTP/1.1\r\n\r\n":                   "250",
 		"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n": "250",
@@ -115,7 +115,7 @@
 // are served in the meantime.
 func TestSlowOnesAreCut(t *testing.T) {
 	c := qt.New(t)
-	l := startServer(c, Config{Connections: 100, StallTimeout: 200 * time.Millisecond})
+	l := startServer(c, Config{MaxConnections: 100, StallTimeout: 200 * time.Millisecond})
 	slow := dial(c, l, "GET /ok HTTP/1.1\r\nHo")
 	dial(c, l, "GET /endless HTTP/1.1\r\nHost: a\r\n\r\n")
 	c.Assert(readResponse(c, dial(c, l, okRequest)).StatusCode, qt.Equals, http.StatusOK)
--- a/internal/connection/upstream/request.go
+++ b/internal/connection/upstream/request.go
@@ -17,11 +17,11 @@
 	// Header is sent except for the names for which Skip returns true. Added is
 	// sent as well and replaces fields of Header with the same name. Neither
 	// contains framing headers.
-	Header http.Header
-	Skip   func(name string) bool
-	Added  http.Header
-	// Small is a complete body, sent together with the header.
-	Small []byte
+	Header      http.Header
+	SkipHeader  func(name string) bool
+	ExtraHeader http.Header
+	// SmallBody is a complete body, sent together with the header.
+	SmallBody []byte
 	// Body is streamed if it is not nil: Length bytes, or, if Length is
 	// negative, chunked and followed by Trailer.
 	Body    io.Reader
@@ -31,11 +31,11 @@
 	Expect bool
 	// AbortBody must unblock a pending Read of Body.
 	AbortBody func()
-	// IdleAge is the maximum time that a reused connection may have been idle.
+	// MaxIdleAge is the maximum time that a reused connection may have been idle.
 	// A request that must not be retried uses only a recently used connection.
-	IdleAge time.Duration
-	// Stall limits each wait for bytes of the response body; 0 means no limit.
-	Stall time.Duration
+	MaxIdleAge time.Duration
+	// StallTimeout limits each wait for bytes of the response body; 0 means no limit.
+	StallTimeout time.Duration
 	// Done is called exactly once, when the server has finished the request or
 	// it is certain that the server did not receive it.
 	Done func()
@@ -52,14 +52,14 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = appendField(b, "Host", r.Host)
 	for name, values := range r.Header {
-		if r.Skip != nil && r.Skip(name) {
+		if r.SkipHeader != nil && r.SkipHeader(name) {
 			continue
 		}
-		if _, replaced := r.Added[name]; !replaced {
+		if _, replaced := r.ExtraHeader[name]; !replaced {
 			b = appendFields(b, name, values)
 		}
 	}
-	for name, values := range r.Added {
+	for name, values := range r.ExtraHeader {
 		b = appendFields(b, name, values)
 	}
 	return append(r.appendFraming(b), "\r\n"...)
@@ -74,8 +74,8 @@
 		}
 	case r.Body != nil:
 		b = appendField(b, "Content-Length", strconv.FormatInt(r.Length, 10))
-	case len(r.Small) > 0 || definesBody(r.Method):
-		b = appendField(b, "Content-Length", strconv.Itoa(len(r.Small)))
+	case len(r.SmallBody) > 0 || definesBody(r.Method):
+		b = appendField(b, "Content-Length", strconv.Itoa(len(r.SmallBody)))
 	}
 	if r.Expect && r.Body != nil {
 		b = appendField(b, "Expect", "100-continue")
--- a/internal/connection/upstream/roundtrip.go
+++ b/internal/connection/upstream/roundtrip.go
@@ -52,7 +52,7 @@
 // caller must close the body. When ctx ends, the request is canceled, also
 // while the body is being read.
 func (p *Pool) RoundTrip(ctx context.Context, r *Request) (*http.Response, *Failure) {
-	c, err := p.get(ctx, r.IdleAge)
+	c, err := p.get(ctx, r.MaxIdleAge)
 	if err != nil {
 		r.done()
 		return nil, &Failure{Err: err}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, x.fail(true, err)
 	}
-	c.headerLeft, c.stallTimeout = -1, r.Stall
+	c.headerLeft, c.stallTimeout = -1, r.StallTimeout
 	x.response = resp
 	resp.Body = &responseBody{ReadCloser: resp.Body, exchange: x}
 	return resp, nil
@@ -89,7 +89,7 @@
 	defer headerBuffers.Put(buffer)
 	b := x.request.appendHeader((*buffer)[:0])
 	headerLen := len(b)
-	b = append(b, x.request.Small...)
+	b = append(b, x.request.SmallBody...)
 	*buffer = b
 	n, err := x.conn.Write(b)
 	return n >= headerLen, err
@@ -119,7 +119,7 @@
 	x.upload.stop()
 	f := &Failure{Sent: sent, BodyStarted: x.upload.started(), Err: err}
 	if x.upload.bodyFailed() {
-		f.Err = errors.Mark(err, ErrBody)
+		f.Err = errors.Mark(err, ErrRequestBody)
 	}
 	x.stopCancel()
 	x.pool.release(x.conn, x.request.done)
--- a/internal/connection/upstream/upload.go
+++ b/internal/connection/upstream/upload.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrBody marks a failure to read the request body: the caller aborted it.
-var ErrBody = errors.New("request body ended prematurely")
+// ErrRequestBody marks a failure to read the request body: the caller aborted it.
+var ErrRequestBody = errors.New("request body ended prematurely")
 
 const uploadBufferSize = 32 << 10
 
@@ -58,7 +58,7 @@
 		return
 	}
 	u.err = u.send()
-	if errors.Is(u.err, ErrBody) {
+	if errors.Is(u.err, ErrRequestBody) {
 		// Stop waiting for a response: the request is incomplete.
 		_ = u.conn.SetReadDeadline(aLongTimeAgo)
 	}
@@ -101,7 +101,7 @@
 
 // bodyFailed reports whether reading the request body failed. It must be called
 // after stop.
-func (u *upload) bodyFailed() bool { return u != nil && errors.Is(u.err, ErrBody) }
+func (u *upload) bodyFailed() bool { return u != nil && errors.Is(u.err, ErrRequestBody) }
 
 func (u *upload) send() error {
 	buffer := uploadBuffers.Get().(*[uploadBufferSize]byte)
@@ -116,7 +116,7 @@
 			return writeErr
 		}
 		if err != nil && remaining > 0 {
-			return errors.Mark(err, ErrBody)
+			return errors.Mark(err, ErrRequestBody)
 		}
 	}
 	return nil
@@ -139,7 +139,7 @@
 			return err
 		}
 		if err != nil {
-			return errors.Mark(err, ErrBody)
+			return errors.Mark(err, ErrRequestBody)
 		}
 	}
 }
--- a/internal/process/daemon/announced.go
+++ b/internal/process/daemon/announced.go
@@ -57,7 +57,7 @@
 // observeAnnouncement counts an announcement by its verdict and logs it if it was refused or
 // ignored.
 func (d *Daemon) observeAnnouncement(a *announce.Announcement, v announce.Verdict, refused *result.Error) {
-	d.metrics.Announced(v.String())
+	d.metrics.CountAnnouncement(v.String())
 	values := []any{
 		"server", a.Address, "service", a.Service, "boot", a.Boot, "started", a.Started,
 		"sequence", a.Sequence, "state", a.State,
--- a/internal/process/daemon/claims.go
+++ b/internal/process/daemon/claims.go
@@ -327,8 +327,8 @@
 const tableQueryTimeout = 200 * time.Millisecond
 
 // metricsState returns the values of the metrics about claims and suspects.
-func (s *claimManager) metricsState() telemetry.OnceState {
-	state := telemetry.OnceState{Waiting: s.once.PendingResults(), Suspects: s.suspects.Known()}
+func (s *claimManager) metricsState() telemetry.IdempotencyState {
+	state := telemetry.IdempotencyState{Waiting: s.once.PendingResults(), Suspects: s.suspects.Known()}
 	if s.group == nil {
 		return state
 	}
--- a/internal/process/daemon/listeners.go
+++ b/internal/process/daemon/listeners.go
@@ -80,7 +80,7 @@
 		if d.listeners[name] == nil {
 			continue
 		}
-		d.limits[name] = limit.New(d.listeners[name], limit.Config{Connections: maxConns, StallTimeout: limits.StallTimeout})
+		d.limits[name] = limit.New(d.listeners[name], limit.Config{MaxConnections: maxConns, StallTimeout: limits.StallTimeout})
 	}
 }
 
--- a/internal/process/daemon/observe.go
+++ b/internal/process/daemon/observe.go
@@ -47,7 +47,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r, span := d.traces.Arrive(r, hopOperator)
 		span.Set("http.path", r.URL.Path)
-		defer func() { span.End(telemetry.CodeOf(w.Header())) }()
+		defer func() { span.End(telemetry.ResultCode(w.Header())) }()
 		next.ServeHTTP(w, r)
 	})
 }
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -71,7 +71,7 @@
 func (d *Daemon) OrderRollout(ctx context.Context, o *source.RolloutOrder) (source.Answer, error) {
 	start := time.Now()
 	s := d.askSources(ctx, sourceOrderRollout, *o, func(ctx context.Context) (source.Answer, error) { return d.source.OrderRollout(ctx, o) })
-	d.metrics.Ordered(s.answer.Code)
+	d.metrics.CountOrder(s.answer.Code)
 	d.operatorLog().Info(logRolloutOrder, "mesh", o.Mesh, "service", o.Service, "target", o.Target, "within", o.Within.String(), "abort", o.Abort,
 		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
@@ -86,7 +86,7 @@
 	if r := s.answer.Rollout; r != nil {
 		stage = r.Stage.String()
 	}
-	d.metrics.Read(s.answer.Code)
+	d.metrics.CountRead(s.answer.Code)
 	d.operatorLog().Info(logRolloutRead, "mesh", name.Mesh, "service", name.Service, "stage", stage,
 		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
--- a/internal/process/daemon/stop.go
+++ b/internal/process/daemon/stop.go
@@ -28,10 +28,10 @@
 func (d *Daemon) newHTTPServer(name string, server *http.Server) *httpServer {
 	leaving := result.Errorf(result.Draining, "this daemon is stopping; send the request to another one")
 	tracker := graceful.NewTracker(result.Response(leaving, http.StatusRequestTimeout, time.Second))
-	server.Handler = tracker.Guard(server.Handler)
+	server.Handler = tracker.WrapHandler(server.Handler)
 	server.ConnState = tracker.ConnState
 	server.ConnContext = tracker.ConnContext
-	unlimited := d.listeners[name].(graceful.Deadline)
+	unlimited := d.listeners[name].(graceful.DeadlineSetter)
 	return &httpServer{Server: server, listener: tracker.Listen(d.limits[name], unlimited), tracker: tracker}
 }
 
--- a/internal/process/daemon/submit.go
+++ b/internal/process/daemon/submit.go
@@ -92,7 +92,7 @@
 func (d *Daemon) Order(ctx context.Context, o *source.Order) (source.Answer, error) {
 	start := time.Now()
 	s := d.askSources(ctx, sourceSubmit, *o, func(ctx context.Context) (source.Answer, error) { return d.source.Submit(ctx, o) })
-	d.metrics.Ordered(s.answer.Code)
+	d.metrics.CountOrder(s.answer.Code)
 	d.operatorLog().Info(logOrder, "mesh", o.Manifest.Mesh, "version", o.Manifest.Version, "base", o.Base.String(),
 		"result", s.answer.Code.String(), "fleet", s.answer.Fleet, "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
@@ -104,7 +104,7 @@
 	start := time.Now()
 	s := d.askSources(ctx, sourceRead, mesh, func(ctx context.Context) (source.Answer, error) { return d.source.Read(ctx, mesh) })
 	answer := checkText(s.answer)
-	d.metrics.Read(answer.Code)
+	d.metrics.CountRead(answer.Code)
 	d.operatorLog().Info(logRead, "mesh", mesh, "version", answer.Winner.Number(), "bytes", len(answer.Text),
 		"result", answer.Code.String(), "fleet", answer.Fleet, "detail", answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return answer, nil
--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -225,9 +225,9 @@
 			Announcement: announce.Announcement{
 				Mesh: s.Mesh, Service: s.Service, Version: s.Version, Slots: serverSlots, Connections: serverConnections,
 			},
-			Crash:  abortRequest,
-			Fails:  failEverySecond(s.Fails),
-			Answer: fmt.Sprintf("answered by service %s%s next to daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
+			Crash:      abortRequest,
+			ShouldFail: failEverySecond(s.Fails),
+			Answer:     fmt.Sprintf("answered by service %s%s next to daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
 		})
 		if err != nil {
 			return err
--- a/internal/process/telemetry/metrics.go
+++ b/internal/process/telemetry/metrics.go
@@ -107,14 +107,14 @@
 // Refused implements gateway.Observer.
 func (m *Metrics) Refused(r gateway.Refused) { m.refused.get(r.Code, r.Code).Inc() }
 
-// Ordered counts a write request of an operator by the result code of the response.
-func (m *Metrics) Ordered(code result.Code) { m.orders.get(code, code).Inc() }
+// CountOrder counts a write request of an operator by the result code of the response.
+func (m *Metrics) CountOrder(code result.Code) { m.orders.get(code, code).Inc() }
 
-// Read counts a read request of an operator by the result code of the response.
-func (m *Metrics) Read(code result.Code) { m.reads.get(code, code).Inc() }
+// CountRead counts a read request of an operator by the result code of the response.
+func (m *Metrics) CountRead(code result.Code) { m.reads.get(code, code).Inc() }
 
-// Announced counts an announcement of a backend server by its verdict.
-func (m *Metrics) Announced(verdict string) { m.announcements.get(verdict, verdict).Inc() }
+// CountAnnouncement counts an announcement of a backend server by its verdict.
+func (m *Metrics) CountAnnouncement(verdict string) { m.announcements.get(verdict, verdict).Inc() }
 
 // Done implements gateway.Observer.
 func (m *Metrics) Done(d gateway.Done) {
--- a/internal/process/telemetry/once.go
+++ b/internal/process/telemetry/once.go
@@ -6,9 +6,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// OnceState is the state of idempotency keys and of suspects, which are requests suspected
+// IdempotencyState is the state of idempotency keys and of suspects, which are requests suspected
 // of crashing backend servers.
-type OnceState struct {
+type IdempotencyState struct {
 	// Waiting is the number of claimed requests that have ended but whose end is not yet
 	// recorded at the sources.
 	Waiting int
@@ -28,7 +28,7 @@
 	Failed        bool
 }
 
-func (s *OnceState) write(w io.Writer) {
+func (s *IdempotencyState) write(w io.Writer) {
 	metrics.WriteGaugeUint64(w, "daisygate_claim_ends_waiting", uint64(s.Waiting))
 	metrics.WriteGaugeUint64(w, "daisygate_suspects_known", uint64(s.Suspects))
 	if t := s.Table; t != nil {
--- a/internal/process/telemetry/state.go
+++ b/internal/process/telemetry/state.go
@@ -41,7 +41,7 @@
 	// Rollouts are the roll-outs in progress.
 	Rollouts []gateway.ServiceTally
 	// Once is the state of idempotency keys and suspects.
-	Once OnceState
+	Once IdempotencyState
 }
 
 // ListenerState holds the connection counts of one listener.
--- a/internal/process/telemetry/telemetry_test.go
+++ b/internal/process/telemetry/telemetry_test.go
@@ -94,8 +94,8 @@
 	m.Done(gateway.Done{Mesh: "a", Route: "r", Code: result.Overloaded, Duration: time.Millisecond})
 	m.Attempt(gateway.Attempt{Mesh: "a", Route: "r", Number: 1, Code: result.DaemonRefused})
 	m.Refused(gateway.Refused{Code: result.Overloaded})
-	m.Ordered(result.BaseMoved)
-	m.Read(result.TextNotHeld)
+	m.CountOrder(result.BaseMoved)
+	m.CountRead(result.TextNotHeld)
 	for i := range maxSeries + 10 {
 		m.Done(gateway.Done{Mesh: "many", Route: strconv.Itoa(i)})
 	}
@@ -146,16 +146,16 @@
 	m := NewMetrics(func() State {
 		return State{
 			Backends: []gateway.Occupancy{{}}, Budgets: []gateway.ServiceBudget{{}}, Listeners: []ListenerState{{}}, Source: &SourceState{},
-			Once:     OnceState{Table: &ClaimTableState{}},
+			Once:     IdempotencyState{Table: &ClaimTableState{}},
 			Rollouts: []gateway.ServiceTally{{Tally: canary.Tally{Routes: map[string]*canary.Pair{"r": {}}}}},
 		}
 	})
 	m.Done(gateway.Done{})
 	m.Attempt(gateway.Attempt{Number: 1})
 	m.Refused(gateway.Refused{})
-	m.Ordered(result.Accepted)
-	m.Read(result.Answered)
-	m.Announced("renewed")
+	m.CountOrder(result.Accepted)
+	m.CountRead(result.Answered)
+	m.CountAnnouncement("renewed")
 	written := map[string]bool{}
 	for _, name := range regexp.MustCompile(`(?m)^daisygate_\w+`).FindAllString(scrape(m), -1) {
 		for _, suffix := range []string{"_bucket", "_sum", "_count"} {
--- a/internal/process/telemetry/trace.go
+++ b/internal/process/telemetry/trace.go
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// CodeOf returns the result code in the header of a response. A response without a valid
+// ResultCode returns the result code in the header of a response. A response without a valid
 // code counts as OK.
-func CodeOf(h http.Header) result.Code {
+func ResultCode(h http.Header) result.Code {
 	code, err := strconv.ParseUint(h.Get(result.HeaderResult), 10, 16)
 	if err != nil {
 		return result.OK
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -61,9 +61,9 @@
 	Answer string
 	// Crash is called for a request with HeaderCrash; nil exits the process.
 	Crash func()
-	// Fails reports whether a request gets a response with status 500; nil
+	// ShouldFail reports whether a request gets a response with status 500; nil
 	// fails none.
-	Fails func(r *http.Request) bool
+	ShouldFail func(r *http.Request) bool
 }
 
 // Server is a stand-in backend server.
@@ -182,7 +182,7 @@
 		}
 	}
 	w.Header().Set(HeaderServer, s.Addr())
-	if s.cfg.Fails != nil && s.cfg.Fails(r) {
+	if s.cfg.ShouldFail != nil && s.cfg.ShouldFail(r) {
 		http.Error(w, "this version fails", http.StatusInternalServerError)
 		return
 	}
