--- a/internal/connection/gateway/gateway.go
+++ b/internal/connection/gateway/gateway.go
@@ -47,7 +47,7 @@
 	// Observer and Tracer receive the progress of calls; nil disables them.
 	Observer Observer
 	Tracer   Tracer
-	// Claims and Suspects are optional.
+	// Claims and CrashScreener are optional.
 	Claims        Claims
 	CrashScreener CrashScreener
 	// Dialect translates the headers of callers and backend servers; nil selects
@@ -63,13 +63,14 @@
 	// FixedSlots keeps the limit at the slots that a backend server announces, regardless
 	// of its latency.
 	FixedSlots bool
-	// MaxBufferedResponse is the size of the largest response that is buffered completely before it
-	// is passed on; 0 streams every response.
+	// MaxBufferedResponse is the size of the largest response that is buffered completely
+	// before it is passed on; 0 streams every response.
 	MaxBufferedResponse int64
 	// LinkBytes is the capacity of the instance's link in each direction, in bytes per
 	// second. 0 means unknown: large bodies and responses are then not scheduled.
 	LinkBytes float64
-	// OnConnectionRefused is called with the address of a backend server that refused a connection.
+	// OnConnectionRefused is called with the address of a backend server that refused a
+	// connection.
 	OnConnectionRefused func(addr string)
 	// OnMisdirected is called with an address at which a different boot (start of a server)
 	// answered than the expected one; boot is "" if none was expected.
@@ -155,8 +156,8 @@
 	return balance.Location{Node: g.cfg.Self, Domain: g.cfg.Domain, Region: g.cfg.Region}
 }
 
-// BeginShutdown starts the planned shutdown: requests from other daemons are refused as not run,
-// and callers are asked to close their connections. Requests in progress continue.
+// BeginShutdown starts the planned shutdown: requests from other daemons are refused as not
+// run, and callers are asked to close their connections. Requests in progress continue.
 func (g *Gateway) BeginShutdown() { g.shuttingDown.Store(true) }
 
 // Close closes idle connections and those of abandoned requests. It must be called after
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -24,7 +24,7 @@
 	Peek(ctx context.Context, c claims.Command) once.Reply
 }
 
-// IdempotencyConfig holds the settings of a Once; they do not change afterwards.
+// IdempotencyConfig holds the settings of an IdempotencyManager; they do not change afterwards.
 type IdempotencyConfig struct {
 	// Node and Incarnation identify this process.
 	Node        string
@@ -35,7 +35,7 @@
 	IsAlive func(once.Token) bool
 }
 
-// The limits of a Once.
+// The limits of an IdempotencyManager.
 const (
 	// claimTimeout bounds the wait for the sources before a request is refused as not
 	// run.
@@ -77,7 +77,8 @@
 	queuedBytes atomic.Int64
 }
 
-// NewIdempotencyManager returns a Once. Run must be running for results to be recorded.
+// NewIdempotencyManager returns an IdempotencyManager. Run must be running for results to
+// be recorded.
 func NewIdempotencyManager(cfg IdempotencyConfig, log logr.Logger) *IdempotencyManager {
 	return &IdempotencyManager{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
 }
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -22,7 +22,8 @@
 type RolloutConfig struct {
 	// Budget limits the exposure of a version before it has been judged good.
 	Budget canary.Budget
-	// LeaderReachable reports whether the leader has been heard from recently; nil means always.
+	// LeaderReachable reports whether the leader has been heard from recently; nil means
+	// always.
 	LeaderReachable func() bool
 	// OnFailure is called immediately when a version under rollout has failed a request. It
 	// must not block; nil disables it.
--- a/internal/connection/graceful/graceful.go
+++ b/internal/connection/graceful/graceful.go
@@ -11,7 +11,7 @@
 // request is not executed.
 //
 // To use it, wrap the listener with Listen, set Server.ConnState and
-// ConnContext to the methods of the Tracker, and wrap the handler with Guard.
+// ConnContext to the methods of the Tracker, and wrap the handler with WrapHandler.
 // On shutdown, first send "Connection: close" with every response for a while,
 // then call Drain, Retire and Server.Shutdown, in this order.
 package graceful
--- a/internal/connection/upstream/request.go
+++ b/internal/connection/upstream/request.go
@@ -14,7 +14,7 @@
 	// Target is the request target in origin form, sent unchanged.
 	Target string
 	Host   string
-	// Header is sent except for the names for which Skip returns true. Added is
+	// Header is sent except for the names for which SkipHeader returns true. ExtraHeader is
 	// sent as well and replaces fields of Header with the same name. Neither
 	// contains framing headers.
 	Header      http.Header
--- a/internal/connection/upstream/roundtrip.go
+++ b/internal/connection/upstream/roundtrip.go
@@ -24,7 +24,7 @@
 	Sent bool
 	// BodyStarted is true if sending the streamed body was started.
 	BodyStarted bool
-	// Err is the cause. It is marked with ErrBody if reading the request body
+	// Err is the cause. It is marked with ErrRequestBody if reading the request body
 	// failed.
 	Err error
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -130,8 +130,8 @@
 	return open(set, log, nil, platform)
 }
 
-// NewWithListeners is New with listeners that are already open, by name. Missing ones are opened as the
-// settings say. The daemon takes ownership of the listeners.
+// NewWithListeners is New with listeners that are already open, by name. Missing ones are
+// opened as the settings say. The daemon takes ownership of the listeners.
 func NewWithListeners(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
 	return open(set, log, listeners, nil)
 }
--- a/internal/process/daemon/lead.go
+++ b/internal/process/daemon/lead.go
@@ -111,7 +111,7 @@
 	return l
 }
 
-// leadershipState implements mesh.Config.Lead.
+// leadershipState implements mesh.Config.Leadership.
 func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Leadership {
 	if d.leadership == nil {
 		return nil
--- a/internal/process/daemon/listeners.go
+++ b/internal/process/daemon/listeners.go
@@ -23,7 +23,7 @@
 	minCallerConnections = 64
 )
 
-// listen opens the listeners that were not passed to NewOn.
+// listen opens the listeners that were not passed to NewWithListeners.
 func (d *Daemon) listen() error {
 	addrs := map[string]string{
 		"caller": d.settings.Listen.Caller, "announce": d.settings.Listen.Announce,
--- a/internal/process/daemon/platform.go
+++ b/internal/process/daemon/platform.go
@@ -21,8 +21,8 @@
 	Health(notReady func() string) http.Handler
 	// LocalServer returns the local backend server named in the settings.
 	LocalServer() LocalServer
-	// ParseHealth parses the response of a backend server at its health path. It returns false if
-	// the server does not accept requests.
+	// ParseHealth parses the response of a backend server at its health path. It returns false
+	// if the server does not accept requests.
 	ParseHealth(status int, h http.Header) (Health, bool)
 }
 
@@ -73,8 +73,8 @@
 	d.configuredServer.Store(&server)
 }
 
-// NamesOtherServer reports whether the settings of platform name a different backend server than
-// the settings in force.
+// NamesOtherServer reports whether the settings of platform name a different backend server
+// than the settings in force.
 func (d *Daemon) NamesOtherServer(platform Platform) bool {
 	return platform != nil && platform.LocalServer() != *d.configuredServer.Load()
 }
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -33,7 +33,7 @@
 	// most 1/reportIntervalPerDaemon reports a second.
 	minReportInterval       = 250 * time.Millisecond
 	reportIntervalPerDaemon = 5 * time.Millisecond
-	// maxReportInterval is well below rollout.SilentAfter.
+	// maxReportInterval is well below rollout.UnreachableAfter.
 	maxReportInterval = time.Second
 	// reportTimeout is the timeout of one report, stepTimeout that of the commit of one step.
 	reportTimeout = time.Second
--- a/internal/process/mesh/mesh.go
+++ b/internal/process/mesh/mesh.go
@@ -51,8 +51,8 @@
 	OnInstall func(version uint64)
 	// Probe is called in a separate goroutine.
 	Probe Prober
-	// Leadership returns the state of this node's leadership of the sources, nil while it is not the
-	// leader. If asked is set, a newer Quorum is needed.
+	// Leadership returns the state of this node's leadership of the sources, nil while it is
+	// not the leader. If asked is set, a newer Quorum is needed.
 	Leadership func(now time.Time, asked bool) *spread.Leadership
 }
 
@@ -145,8 +145,8 @@
 	}
 }
 
-// SetCommittedVersion records the version that a source reported as committed. The source must have
-// been asked after the start of this process.
+// SetCommittedVersion records the version that a source reported as committed. The source must
+// have been asked after the start of this process.
 func (m *Mesh) SetCommittedVersion(version uint64) {
 	m.ops <- func(now time.Time) {
 		m.runSpreadActions(m.spread.SetCommittedVersion(version))
--- a/internal/process/quorum/group.go
+++ b/internal/process/quorum/group.go
@@ -24,11 +24,11 @@
 	DataDir string
 	// TickInterval is the duration of one tick.
 	TickInterval time.Duration
-	// ElectionTicks, HeartbeatTicks and FirstTicks are passed to replica.Config.
+	// ElectionTicks, HeartbeatTicks and FirstElectionTicks are passed to replica.Config.
 	ElectionTicks      int
 	HeartbeatTicks     int
 	FirstElectionTicks int
-	// JoinExisting, ReplaceTicks and Voters are passed to replica.Config.
+	// JoinExisting, ReplaceTicks and TargetVoters are passed to replica.Config.
 	JoinExisting bool
 	ReplaceTicks int
 	TargetVoters int
--- a/internal/process/replica/election.go
+++ b/internal/process/replica/election.go
@@ -24,7 +24,7 @@
 }
 
 // firstTimeoutSpread is the width of the range of the first election timeout, as a
-// multiple of FirstTicks.
+// multiple of FirstElectionTicks.
 const firstTimeoutSpread = 3
 
 // campaign requests pre-votes, which change no state on any member, or votes.
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -158,7 +158,7 @@
 	return true
 }
 
-// isSilent reports whether a daemon has sent no report for SilentAfter, so that it is
+// isSilent reports whether a daemon has sent no report for UnreachableAfter, so that it is
 // considered unreachable.
 func (r *activeRollout) isSilent(now time.Time, report *daemonReport) bool {
 	lastHeard := r.listeningSince
--- a/internal/process/source/rollout.go
+++ b/internal/process/source/rollout.go
@@ -10,7 +10,7 @@
 
 // Limits of a roll-out order.
 const (
-	// MinRolloutDuration and MaxWithin bound the time limit of a roll-out.
+	// MinRolloutDuration and MaxRolloutDuration bound the time limit of a roll-out.
 	MinRolloutDuration = time.Second
 	MaxRolloutDuration = 6 * time.Hour
 	// maxVersionName is the maximum length of the name of a software version, in bytes.
@@ -32,7 +32,7 @@
 	// Target is the software version to roll out.
 	Target string
 	// Within is the time limit for completing the roll-out or rolling it back, from
-	// MinWithin to MaxWithin.
+	// MinRolloutDuration to MaxRolloutDuration.
 	Within time.Duration
 	// Abort requests that the running roll-out is rolled back; Target and Within are
 	// ignored.
--- a/internal/process/spread/confirm.go
+++ b/internal/process/spread/confirm.go
@@ -119,8 +119,8 @@
 	c.forwardAsks()
 }
 
-// SetCommittedVersion handles the committed version that the leader returned to a direct request sent
-// after the start of this node.
+// SetCommittedVersion handles the committed version that the leader returned to a direct
+// request sent after the start of this node.
 func (c *Core) SetCommittedVersion(version uint64) []Action {
 	c.setMinVersion(version, ByQuorum)
 	c.checkMinVersion()
--- a/internal/process/telemetry/once.go
+++ b/internal/process/telemetry/once.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// IdempotencyState is the state of idempotency keys and of suspects, which are requests suspected
-// of crashing backend servers.
+// IdempotencyState is the state of idempotency keys and of suspects, which are requests
+// suspected of crashing backend servers.
 type IdempotencyState struct {
 	// Waiting is the number of claimed requests that have ended but whose end is not yet
 	// recorded at the sources.
--- a/internal/request/canary/judge.go
+++ b/internal/request/canary/judge.go
@@ -51,7 +51,8 @@
 	return strings.Join(reasons, "; ")
 }
 
-// EvidenceRatio returns how close the evidence is to calling the target version bad, from 0 to 1.
+// EvidenceRatio returns how close the evidence is to calling the target version bad, from 0 to
+// 1.
 func (j *Judge) EvidenceRatio() float64 {
 	highest := j.pooled.highest()
 	for _, t := range j.routes {
--- a/internal/request/flow/flow.go
+++ b/internal/request/flow/flow.go
@@ -91,15 +91,16 @@
 	Bytes int64
 	// Answer is the expected length of the answer if it is large, else 0.
 	Answer int64
-	// RepeatProbability is the probability that the request was made by a run that was itself a repeat.
+	// RepeatProbability is the probability that the request was made by a run that was itself
+	// a repeat.
 	RepeatProbability float64
 	// Pin, if not 0, determines the server: all requests with the same Pin go to the same one.
 	Pin uint64
 	// Arm restricts the first attempt during a roll-out, and RetryArm the others. If Arm has no
 	// usable server, RetryArm applies to the first attempt too.
 	Arm, RetryArm balance.Arm
-	// FallbackArm replaces Then once a server refused because its software version accepts no
-	// new work: a later stage of the roll-out is then in force there than here.
+	// FallbackArm replaces RetryArm once a server refused because its software version accepts
+	// no new work: a later stage of the roll-out is then in force there than here.
 	FallbackArm balance.Arm
 }
 
--- a/internal/request/quarantine/core.go
+++ b/internal/request/quarantine/core.go
@@ -72,8 +72,8 @@
 // Judge returns how a request may run.
 func (c *Core) Judge(now time.Time, f Fingerprint) Verdict { return c.ledger.judge(now, f) }
 
-// ReportRemoteCrash records that another daemon observed a crash while the request was in progress,
-// alone or not. It reports whether that was new.
+// ReportRemoteCrash records that another daemon observed a crash while the request was in
+// progress, alone or not. It reports whether that was new.
 func (c *Core) ReportRemoteCrash(now time.Time, f Fingerprint, alone bool) bool {
 	return c.ledger.addRemoteCrash(now, f, alone)
 }
@@ -82,7 +82,7 @@
 func (c *Core) Reports() []Suspect { return c.ledger.reports() }
 
 // Begin records that a request is handed to the server at addr. It returns the run's
-// id for Drop and End.
+// id for RecordConnectionLoss and End.
 func (c *Core) Begin(now time.Time, addr string, id Identity, alone bool) uint64 {
 	c.nextID++
 	if c.servers[addr] == nil {
@@ -92,15 +92,15 @@
 	return c.nextID
 }
 
-// RecordConnectionLoss records that the server closed a run's connection. The caller must then find
-// out whether the server crashed, and call End.
+// RecordConnectionLoss records that the server closed a run's connection. The caller must then
+// find out whether the server crashed, and call End.
 func (c *Core) RecordConnectionLoss(now time.Time, addr string, id uint64) {
 	if r := c.servers[addr][id]; r != nil {
 		r.lostAt = now
 	}
 }
 
-// End records the end of a run. For a Lost run, listening tells whether the server
+// End records the end of a run. For a ConnectionLost run, listening tells whether the server
 // still accepts connections. End reports whether the server crashed, and whether the
 // reports have changed.
 func (c *Core) End(now time.Time, addr string, id uint64, fate Outcome, listening bool) (crashed, changed bool) {
--- a/internal/version/fleet/delta.go
+++ b/internal/version/fleet/delta.go
@@ -30,7 +30,7 @@
 // ErrOld is returned by Apply for a delta to an older version.
 var ErrOld = errors.New("delta ends at an older version")
 
-// ErrHash is returned by Apply and Take if the hash of the result does not match the
+// ErrHash is returned by Apply and ApplyRevision if the hash of the result does not match the
 // expected one.
 var ErrHash = errors.New("hash of the resulting state does not match")
 
--- a/internal/version/fleet/fleet.go
+++ b/internal/version/fleet/fleet.go
@@ -3,7 +3,7 @@
 // of them. It also encodes the deltas between two versions and the snapshot of
 // one.
 //
-// A State is immutable: Accept, Take and Apply return a new State that shares
+// A State is immutable: Accept, ApplyRevision and Apply return a new State that shares
 // unchanged data with the old one, so that the cost of a change is proportional to
 // its size.
 package fleet
--- a/internal/version/fleet/revision.go
+++ b/internal/version/fleet/revision.go
@@ -28,10 +28,10 @@
 	Sum uint64 `cbor:"8,keyasint"`
 }
 
-// ErrBase is returned by Take for a revision of a manifest other than the current one.
+// ErrBase is returned by ApplyRevision for a revision of a manifest other than the current one.
 var ErrBase = errors.New("revision does not apply to the current manifest")
 
-// ErrForeignResource is returned by Take for a revision with a resource that is not a
+// ErrForeignResource is returned by ApplyRevision for a revision with a resource that is not a
 // service or route of its mesh.
 var ErrForeignResource = errors.New("revision contains a resource that is not a service or route of its mesh")
 
@@ -100,8 +100,8 @@
 	return all, nil
 }
 
-// ApplyRevision returns the state after applying r, or ErrBase, ErrForeignResource or ErrHash. It
-// does not modify s.
+// ApplyRevision returns the state after applying r, or ErrBase, ErrForeignResource or ErrHash.
+// It does not modify s.
 func (s *State) ApplyRevision(r *Revision) (*State, error) {
 	header, _ := s.Mesh(r.Mesh)
 	if r.Base != 0 && r.Base != header.Content {
--- a/internal/version/fleet/rollout.go
+++ b/internal/version/fleet/rollout.go
@@ -158,9 +158,9 @@
 	return version == r.Version
 }
 
-// AcceptsNewRequests reports whether servers of a software version accept new requests. It differs
-// from Admits in Handover, where the previous version accepts none. The daemon that a
-// server is announced to enforces it, whatever stage the sender of the request is in.
+// AcceptsNewRequests reports whether servers of a software version accept new requests. It
+// differs from Selectable in Handover, where the previous version accepts none. The daemon
+// that a server is announced to enforces it, whatever stage the sender of the request is in.
 func (r *Rollout) AcceptsNewRequests(version string) bool {
 	return r.Selectable(version) && (r.Stage != Handover || version == r.Target)
 }
