--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/daisygate/daisygate/internal/trail"
+	"github.com/daisygate/daisygate/internal/requestlog"
 )
 
 func newExplain() *cobra.Command {
@@ -31,14 +31,14 @@
 			if len(lines) == 0 {
 				return errors.Newf("no line about request %s in %d logs", args[0], len(args)-1)
 			}
-			return trail.Explain(cmd.OutOrStdout(), lines)
+			return requestlog.Explain(cmd.OutOrStdout(), lines)
 		},
 	}
 }
 
 // readLogs returns the lines about a request from several logs.
-func readLogs(in io.Reader, id string, paths []string) ([]trail.Line, error) {
-	var all []trail.Line
+func readLogs(in io.Reader, id string, paths []string) ([]requestlog.Line, error) {
+	var all []requestlog.Line
 	for _, path := range paths {
 		lines, err := readLog(in, id, path)
 		if err != nil {
@@ -49,14 +49,14 @@
 	return all, nil
 }
 
-func readLog(in io.Reader, id, path string) ([]trail.Line, error) {
+func readLog(in io.Reader, id, path string) ([]requestlog.Line, error) {
 	if path == "-" {
-		return trail.Read(in, "stdin", id)
+		return requestlog.Read(in, "stdin", id)
 	}
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "open log")
 	}
 	defer func() { _ = file.Close() }()
-	return trail.Read(file, path, id)
+	return requestlog.Read(file, path, id)
 }
--- a/internal/connection/gateway/requestlog.go
+++ b/internal/connection/gateway/requestlog.go
@@ -14,7 +14,7 @@
 )
 
 // The messages of the request log, on the first daemon and on the backend server's
-// instance. Package trail reconstructs a request's path from them.
+// instance. Package requestlog reconstructs a request's path from them.
 const (
 	// LogRefused and LogFailed report a final response that does not come from a backend
 	// server: LogRefused for a request that was not run, LogFailed for one that may have
--- a/internal/trail/explain.go
+++ b/internal/requestlog/explain.go
@@ -1,4 +1,4 @@
-package trail
+package requestlog
 
 import (
 	"fmt"
--- a/internal/trail/trail.go
+++ b/internal/requestlog/requestlog.go
@@ -1,7 +1,7 @@
-// Package trail reconstructs the path of one request from the logs of daemons: what
+// Package requestlog reconstructs the path of one request from the logs of daemons: what
 // the daemon that accepted the request decided, what the daemon of each backend server
 // did, and what the result means.
-package trail
+package requestlog
 
 import (
 	"bufio"
