--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -10,7 +10,7 @@
 	"github.com/go-logr/logr"
 
 	"github.com/daisygate/daisygate/internal/process/claims"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/result"
 )
 
@@ -18,10 +18,10 @@
 type ClaimTable interface {
 	// Do executes one command. If it returns an error, committed reports whether the
 	// command may have been committed nevertheless.
-	Do(ctx context.Context, c claims.Command) (reply once.Reply, committed bool, err error)
+	Do(ctx context.Context, c claims.Command) (reply idempotency.Reply, committed bool, err error)
 	// Peek asks one reachable source for its record of a claim's key while there is no
-	// majority. once.NotHeld means that it has none.
-	Peek(ctx context.Context, c claims.Command) once.Reply
+	// majority. idempotency.NotHeld means that it has none.
+	Peek(ctx context.Context, c claims.Command) idempotency.Reply
 }
 
 // IdempotencyConfig holds the settings of an IdempotencyManager; they do not change afterwards.
@@ -32,7 +32,7 @@
 	Table       ClaimTable
 	// IsAlive reports whether the process that made a claim is still running, as far as
 	// this daemon knows.
-	IsAlive func(once.Token) bool
+	IsAlive func(idempotency.Token) bool
 }
 
 // The limits of an IdempotencyManager.
@@ -86,12 +86,12 @@
 // Claim implements Claims.
 func (o *IdempotencyManager) Claim(ctx context.Context, r *Request) ClaimVerdict {
 	key := r.HTTP.Header.Get(HeaderIdempotencyKey)
-	if len(key) > once.MaxKeyLength {
-		return ClaimVerdict{Refusal: result.Errorf(result.BadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, once.MaxKeyLength)}
+	if len(key) > idempotency.MaxKeyLength {
+		return ClaimVerdict{Refusal: result.Errorf(result.BadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, idempotency.MaxKeyLength)}
 	}
 	c := claims.Command{
-		Kind: claims.KindClaim, ID: once.NewID(r.Mesh, key), Fingerprint: fingerprintOf(r),
-		Token: once.Token{Node: o.cfg.Node, Incarnation: o.cfg.Incarnation, Seq: o.seq.Add(1)},
+		Kind: claims.KindClaim, ID: idempotency.NewID(r.Mesh, key), Fingerprint: fingerprintOf(r),
+		Token: idempotency.Token{Node: o.cfg.Node, Incarnation: o.cfg.Incarnation, Seq: o.seq.Add(1)},
 	}
 	// The claim continues when its caller disconnects: its result must be known.
 	ctx = context.WithoutCancel(ctx)
@@ -99,7 +99,7 @@
 	if !ok {
 		return verdictOf(o.peek(ctx, c))
 	}
-	step := once.ClaimStep(reply, o.cfg.IsAlive)
+	step := idempotency.ClaimStep(reply, o.cfg.IsAlive)
 	if step.Refusal == nil && step.Replay == nil {
 		o.granted.Store(r, claims.Command{ID: c.ID, Token: c.Token})
 	}
@@ -107,7 +107,7 @@
 }
 
 // sendClaim sends the claim. ok is false if no majority of sources answered.
-func (o *IdempotencyManager) sendClaim(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
+func (o *IdempotencyManager) sendClaim(ctx context.Context, c claims.Command) (reply idempotency.Reply, ok bool) {
 	if !o.allowClaim() {
 		return reply, false
 	}
@@ -136,14 +136,14 @@
 // otherwise the request is not run, and nothing is known about earlier submissions. The
 // source may lag: the claim of another request may have been released since, and this
 // request may have run, so a mismatch proves nothing.
-func (o *IdempotencyManager) peek(ctx context.Context, c claims.Command) once.Step {
+func (o *IdempotencyManager) peek(ctx context.Context, c claims.Command) idempotency.Step {
 	ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 	defer cancel()
 	reply := o.cfg.Table.Peek(ctx, c)
-	if reply.Verdict == once.NotHeld || reply.Verdict == once.Mismatch || reply.Owner == c.Token {
-		return once.Unavailable()
+	if reply.Verdict == idempotency.NotHeld || reply.Verdict == idempotency.Mismatch || reply.Owner == c.Token {
+		return idempotency.Unavailable()
 	}
-	return once.ClaimStep(reply, o.cfg.IsAlive)
+	return idempotency.ClaimStep(reply, o.cfg.IsAlive)
 }
 
 // beginOutage suspends claims for a while and releases a claim that may have been
@@ -157,14 +157,14 @@
 }
 
 func fingerprintOf(r *Request) uint64 {
-	identity := once.Request{
+	identity := idempotency.Request{
 		Method: r.HTTP.Method, Path: r.HTTP.URL.Path, Query: r.HTTP.URL.RawQuery,
 		ContentType: r.HTTP.Header.Get("Content-Type"), ContentLength: r.HTTP.ContentLength, Body: r.Body,
 	}
 	return identity.Fingerprint()
 }
 
-func verdictOf(s once.Step) ClaimVerdict {
+func verdictOf(s idempotency.Step) ClaimVerdict {
 	v := ClaimVerdict{Refusal: s.Refusal, RetryAfter: s.RetryAfter}
 	if s.Replay == nil {
 		return v
@@ -185,7 +185,7 @@
 	}
 	c := grantedCommand.(claims.Command)
 	c.Kind = claims.KindRelease
-	if c.Answer = once.AnswerToRecord(s.Code, storedForm(s.Response)); c.Answer != nil {
+	if c.Answer = idempotency.AnswerToRecord(s.Code, storedForm(s.Response)); c.Answer != nil {
 		c.Kind = claims.KindAnswer
 	}
 	o.enqueue(c)
@@ -193,14 +193,14 @@
 
 // storedForm returns the response in the form in which it is stored, or nil if there is
 // none.
-func storedForm(response *StoredResponse) *once.Answer {
+func storedForm(response *StoredResponse) *idempotency.Answer {
 	if response == nil {
 		return nil
 	}
-	stored := &once.Answer{Status: response.Status, Body: response.Body}
+	stored := &idempotency.Answer{Status: response.Status, Body: response.Body}
 	for name, values := range response.Header {
 		for _, v := range values {
-			stored.Header = append(stored.Header, once.HeaderField{Name: name, Value: v})
+			stored.Header = append(stored.Header, idempotency.HeaderField{Name: name, Value: v})
 		}
 	}
 	return stored
@@ -209,7 +209,7 @@
 func (o *IdempotencyManager) enqueue(c claims.Command) {
 	if size := sizeOf(&c); size > 0 && o.queuedBytes.Add(size) > maxQueuedResponseBytes {
 		o.queuedBytes.Add(-size)
-		c.Answer = &once.Answer{Code: c.Answer.Code, Dropped: true}
+		c.Answer = &idempotency.Answer{Code: c.Answer.Code, Dropped: true}
 	}
 	o.pending.Add(1)
 	o.queueLength.Add(1)
@@ -265,7 +265,7 @@
 		reply, _, err := o.cfg.Table.Do(try, c)
 		cancel()
 		if err == nil {
-			if reply.Verdict != once.Done {
+			if reply.Verdict != idempotency.Done {
 				o.log.V(1).Info("result of a claimed request not accepted by the claim table", "verdict", reply.Verdict)
 			}
 			return
--- a/internal/process/claims/bench_test.go
+++ b/internal/process/claims/bench_test.go
@@ -16,12 +16,12 @@
 	"github.com/daisygate/daisygate/internal/process/claims"
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 )
 
 // sources connects three members with real files by function calls.
 type sources struct {
-	groups map[string]*quorum.Group[once.Reply]
+	groups map[string]*quorum.Group[idempotency.Reply]
 }
 
 func (s *sources) Send(to string, messages []replica.Message) { s.groups[to].Deliver(messages) }
@@ -33,9 +33,9 @@
 	return s.groups[to].ServeProposal(ctx, data), nil
 }
 
-func startSources(b *testing.B, ctx context.Context, held int) *quorum.Group[once.Reply] {
+func startSources(b *testing.B, ctx context.Context, held int) *quorum.Group[idempotency.Reply] {
 	members := []string{"a", "b", "c"}
-	s := &sources{groups: map[string]*quorum.Group[once.Reply]{}}
+	s := &sources{groups: map[string]*quorum.Group[idempotency.Reply]{}}
 	for i, id := range members {
 		g, err := quorum.Open(quorum.Config{
 			ID: id, Members: members, DataDir: b.TempDir(), TickInterval: 50 * time.Millisecond,
@@ -72,14 +72,14 @@
 	return t
 }
 
-var answer200 = &once.Answer{
-	Status: 200, Header: []once.HeaderField{{Name: "Content-Type", Value: "application/json"}}, Body: make([]byte, 170),
+var answer200 = &idempotency.Answer{
+	Status: 200, Header: []idempotency.HeaderField{{Name: "Content-Type", Value: "application/json"}}, Body: make([]byte, 170),
 }
 
 func command(kind claims.Kind, seq uint64) claims.Command {
 	return claims.Command{
-		Kind: kind, ID: once.NewID("ahnenbach", fmt.Sprint(seq)), Fingerprint: seq, Now: 1 << 40,
-		Token: once.Token{Node: "daemon-0001", Incarnation: 1 << 40, Seq: seq},
+		Kind: kind, ID: idempotency.NewID("ahnenbach", fmt.Sprint(seq)), Fingerprint: seq, Now: 1 << 40,
+		Token: idempotency.Token{Node: "daemon-0001", Incarnation: 1 << 40, Seq: seq},
 	}
 }
 
@@ -101,11 +101,11 @@
 				callers.Go(func() {
 					for seq := next.Add(1); seq <= uint64(b.N); seq = next.Add(1) {
 						begin := time.Now()
-						propose(b, ctx, leader, command(claims.KindClaim, seq), once.Granted)
+						propose(b, ctx, leader, command(claims.KindClaim, seq), idempotency.Granted)
 						took := time.Since(begin)
 						c := command(claims.KindAnswer, seq)
 						c.Answer = answer200
-						propose(b, ctx, leader, c, once.Done)
+						propose(b, ctx, leader, c, idempotency.Done)
 						mu.Lock()
 						_ = h.RecordValue(int64(took))
 						mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-func propose(b *testing.B, ctx context.Context, leader *quorum.Group[once.Reply], c claims.Command, want once.Verdict) {
+func propose(b *testing.B, ctx context.Context, leader *quorum.Group[idempotency.Reply], c claims.Command, want idempotency.Verdict) {
 	raw, err := c.Encode()
 	if err != nil {
 		b.Fatal(err)
--- a/internal/process/claims/command.go
+++ b/internal/process/claims/command.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 )
 
 // Kind is the operation that a command requests.
@@ -23,13 +23,13 @@
 // Command is one log entry. It may be resent with the same token; the duplicate has no
 // further effect.
 type Command struct {
-	Kind Kind    `cbor:"1,keyasint"`
-	ID   once.ID `cbor:"2,keyasint"`
+	Kind Kind           `cbor:"1,keyasint"`
+	ID   idempotency.ID `cbor:"2,keyasint"`
 	// Fingerprint identifies the content of the request; set for KindClaim.
-	Fingerprint uint64     `cbor:"3,keyasint,omitempty"`
-	Token       once.Token `cbor:"4,keyasint"`
+	Fingerprint uint64            `cbor:"3,keyasint,omitempty"`
+	Token       idempotency.Token `cbor:"4,keyasint"`
 	// Answer is set for KindAnswer.
-	Answer *once.Answer `cbor:"5,keyasint,omitempty"`
+	Answer *idempotency.Answer `cbor:"5,keyasint,omitempty"`
 	// Now is the time at the source that proposes the command, in Unix milliseconds.
 	Now int64 `cbor:"6,keyasint"`
 }
@@ -42,10 +42,10 @@
 
 // Apply executes the command in a committed log entry. An entry that cannot be decoded
 // changes nothing, on every source alike.
-func (t *Table) Apply(_, _ uint64, data []byte) (once.Reply, error) {
+func (t *Table) Apply(_, _ uint64, data []byte) (idempotency.Reply, error) {
 	var c Command
 	if err := cbor.Unmarshal(data, &c); err != nil {
-		return once.Reply{Verdict: once.NotHeld}, nil
+		return idempotency.Reply{Verdict: idempotency.NotHeld}, nil
 	}
 	return t.Execute(&c), nil
 }
--- a/internal/process/claims/fuzz_test.go
+++ b/internal/process/claims/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 )
 
 // FuzzRestore guards against snapshots that crash a source. A snapshot that is
@@ -11,10 +11,10 @@
 func FuzzRestore(f *testing.F) {
 	filledTable := func() *Table {
 		t := New(DefaultLimits())
-		id := once.ID{}
+		id := idempotency.ID{}
 		id[0] = 1
-		t.Execute(&Command{Kind: KindClaim, ID: id, Fingerprint: 5, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Now: 1})
-		t.Execute(&Command{Kind: KindAnswer, ID: id, Token: once.Token{Node: "a", Incarnation: 2, Seq: 3}, Answer: &once.Answer{Status: 200}, Now: 2})
+		t.Execute(&Command{Kind: KindClaim, ID: id, Fingerprint: 5, Token: idempotency.Token{Node: "a", Incarnation: 2, Seq: 3}, Now: 1})
+		t.Execute(&Command{Kind: KindAnswer, ID: id, Token: idempotency.Token{Node: "a", Incarnation: 2, Seq: 3}, Answer: &idempotency.Answer{Status: 200}, Now: 2})
 		return t
 	}
 	raw, err := filledTable().Snapshot()
--- a/internal/process/claims/snapshot.go
+++ b/internal/process/claims/snapshot.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 )
 
 // tableSnapshot is the encoded form of a table. All lists keep their order, so that
@@ -31,7 +31,7 @@
 // savedClaim is one claim.
 type savedClaim struct {
 	_           struct{} `cbor:",toarray"`
-	ID          once.ID
+	ID          idempotency.ID
 	Fingerprint uint64
 	// Owner is an index in the owners of the snapshot.
 	Owner      int
@@ -39,7 +39,7 @@
 	State      state
 	Since      int64
 	AnsweredAt int64
-	Answer     *once.Answer
+	Answer     *idempotency.Answer
 }
 
 // Snapshot encodes the complete table.
@@ -137,7 +137,7 @@
 	o := snap.Owners[s.Owner]
 	e := &claim{
 		id: s.ID, fingerprint: s.Fingerprint,
-		token: t.intern(once.Token{Node: o.Node, Incarnation: o.Incarnation, Seq: s.Seq}),
+		token: t.intern(idempotency.Token{Node: o.Node, Incarnation: o.Incarnation, Seq: s.Seq}),
 		state: s.State, since: s.Since, answeredAt: s.AnsweredAt, answer: s.Answer,
 	}
 	e.element = l.PushBack(e)
--- a/internal/process/claims/sources_test.go
+++ b/internal/process/claims/sources_test.go
@@ -13,7 +13,7 @@
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
 	"github.com/daisygate/daisygate/internal/process/storage"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/result"
 )
 
@@ -28,7 +28,7 @@
 	number := 0
 	rapid.Check(t, func(t *rapid.T) {
 		number++
-		s := &simulation{dir: filepath.Join(base, fmt.Sprint(number)), nodes: map[string]*quorum.Node[once.Reply]{}, disks: map[string]*storage.Log{}, tables: map[string]*claims.Table{}, ran: map[int]*attempt{}}
+		s := &simulation{dir: filepath.Join(base, fmt.Sprint(number)), nodes: map[string]*quorum.Node[idempotency.Reply]{}, disks: map[string]*storage.Log{}, tables: map[string]*claims.Table{}, ran: map[int]*attempt{}}
 		for _, id := range members {
 			s.start(t, id)
 		}
@@ -52,7 +52,7 @@
 // attempt is one attempt of a daemon to run a key.
 type attempt struct {
 	key   int
-	token once.Token
+	token idempotency.Token
 	// givenUp attempts are not run, whatever reply arrives later. running is set once
 	// the key was run, recorded once the sources have confirmed the end of the
 	// attempt.
@@ -69,7 +69,7 @@
 
 type simulation struct {
 	dir     string
-	nodes   map[string]*quorum.Node[once.Reply]
+	nodes   map[string]*quorum.Node[idempotency.Reply]
 	disks   map[string]*storage.Log
 	tables  map[string]*claims.Table
 	network []packet
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *simulation) propose(t *rapid.T, c claims.Command, answer func(once.Reply, error)) {
+func (s *simulation) propose(t *rapid.T, c claims.Command, answer func(idempotency.Reply, error)) {
 	id := rapid.SampledFrom(members).Draw(t, "source")
 	if n := s.nodes[id]; n != nil {
 		raw, err := c.Encode()
@@ -148,14 +148,14 @@
 
 func (s *simulation) claim(t *rapid.T) {
 	s.seq++
-	a := &attempt{key: rapid.IntRange(0, 3).Draw(t, "key"), token: once.Token{Node: "d", Seq: s.seq}}
+	a := &attempt{key: rapid.IntRange(0, 3).Draw(t, "key"), token: idempotency.Token{Node: "d", Seq: s.seq}}
 	s.attempts = append(s.attempts, a)
 	s.send(t, a)
 }
 
 func (s *simulation) send(t *rapid.T, a *attempt) {
-	s.propose(t, claims.Command{Kind: claims.KindClaim, ID: id(a.key), Token: a.token}, func(r once.Reply, err error) {
-		if err == nil && r.Verdict == once.Granted && !a.givenUp && !a.running {
+	s.propose(t, claims.Command{Kind: claims.KindClaim, ID: id(a.key), Token: a.token}, func(r idempotency.Reply, err error) {
+		if err == nil && r.Verdict == idempotency.Granted && !a.givenUp && !a.running {
 			s.run(a)
 		}
 	})
@@ -197,7 +197,7 @@
 			a.ended = true
 			a.code = rapid.SampledFrom([]result.Code{result.OK, result.AnswerLost, result.BackendRefused}).Draw(t, "code")
 		}
-		answer := once.AnswerToRecord(a.code, &once.Answer{Status: 200})
+		answer := idempotency.AnswerToRecord(a.code, &idempotency.Answer{Status: 200})
 		c := claims.Command{Kind: claims.KindAnswer, Answer: answer}
 		if answer == nil {
 			c.Kind = claims.KindRelease
@@ -216,14 +216,14 @@
 		c.Kind, c.Answer = claims.KindRelease, nil
 	}
 	c.ID, c.Token = id(a.key), a.token
-	s.propose(t, c, func(_ once.Reply, err error) { a.recorded = a.recorded || err == nil })
+	s.propose(t, c, func(_ idempotency.Reply, err error) { a.recorded = a.recorded || err == nil })
 }
 
 // peek reads from one source alone: an answer that it knows must be that of a run.
 func (s *simulation) peek(t *rapid.T) {
 	source := rapid.SampledFrom(members).Draw(t, "source")
 	for key := range 4 {
-		if s.tables[source].Peek(id(key), 0).Verdict == once.Answered && s.ran[key] == nil {
+		if s.tables[source].Peek(id(key), 0).Verdict == idempotency.Answered && s.ran[key] == nil {
 			t.Fatalf("%s has an answer for key %d, which was not run", source, key)
 		}
 	}
@@ -280,13 +280,13 @@
 	s.advance(t, 60)
 	granted := 0
 	for _, id := range members {
-		c := claims.Command{Kind: claims.KindClaim, ID: once.NewID("m", "fresh"), Token: once.Token{Node: "d", Seq: 1 << 40}}
+		c := claims.Command{Kind: claims.KindClaim, ID: idempotency.NewID("m", "fresh"), Token: idempotency.Token{Node: "d", Seq: 1 << 40}}
 		raw, err := c.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.nodes[id].Propose(raw, func(r once.Reply, err error) {
-			if err == nil && r.Verdict == once.Granted {
+		s.nodes[id].Propose(raw, func(r idempotency.Reply, err error) {
+			if err == nil && r.Verdict == idempotency.Granted {
 				granted++
 			}
 		})
--- a/internal/process/claims/table.go
+++ b/internal/process/claims/table.go
@@ -11,7 +11,7 @@
 	"container/list"
 	"time"
 
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 )
 
 // Limits are the limits of a table. They must be the same on every source of a group.
@@ -56,14 +56,14 @@
 // is held or answered, in the list of tombstones if it is released, and in the list of
 // answers if and only if its answer has a size above 0.
 type claim struct {
-	id          once.ID
+	id          idempotency.ID
 	fingerprint uint64
-	token       once.Token
+	token       idempotency.Token
 	state       state
 	// since is when the claim was added to its list, in Unix milliseconds.
 	since int64
 	// answer is set if the state is answered.
-	answer *once.Answer
+	answer *idempotency.Answer
 	// answeredAt is when the answer was recorded, in Unix milliseconds.
 	answeredAt int64
 
@@ -76,7 +76,7 @@
 	limits Limits
 	// now is the latest time of any command, in Unix milliseconds.
 	now    int64
-	claims map[once.ID]*claim
+	claims map[idempotency.ID]*claim
 	// active, tombstones and answers contain *claim, oldest first.
 	active, tombstones, answers *list.List
 	// answerBytes is the total size of the answers in the list answers; at most
@@ -95,7 +95,7 @@
 
 func (t *Table) reset() {
 	t.now, t.answerBytes = 0, 0
-	t.claims, t.ownerNames = map[once.ID]*claim{}, map[string]string{}
+	t.claims, t.ownerNames = map[idempotency.ID]*claim{}, map[string]string{}
 	t.active, t.tombstones, t.answers = list.New(), list.New(), list.New()
 }
 
@@ -106,7 +106,7 @@
 func (t *Table) AnswerBytes() int { return t.answerBytes }
 
 // Execute executes one command.
-func (t *Table) Execute(c *Command) once.Reply {
+func (t *Table) Execute(c *Command) idempotency.Reply {
 	t.now = max(t.now, c.Now)
 	t.expire()
 	switch c.Kind {
@@ -117,55 +117,55 @@
 	case KindRelease:
 		return t.release(c)
 	}
-	return once.Reply{Verdict: once.NotHeld}
+	return idempotency.Reply{Verdict: idempotency.NotHeld}
 }
 
-func (t *Table) claim(c *Command) once.Reply {
+func (t *Table) claim(c *Command) idempotency.Reply {
 	e := t.claims[c.ID]
 	switch {
 	case e == nil:
 		return t.grant(c)
 	case e.state == released && e.token == c.Token:
-		return once.Reply{Verdict: once.Cancelled}
+		return idempotency.Reply{Verdict: idempotency.Cancelled}
 	case e.state == released:
 		t.remove(e)
 		return t.grant(c)
 	case e.state == held && e.token == c.Token:
-		return once.Reply{Verdict: once.Granted}
+		return idempotency.Reply{Verdict: idempotency.Granted}
 	}
 	return e.duplicateReply(c.Fingerprint)
 }
 
 // duplicateReply returns the reply to a later claim of the same key.
-func (e *claim) duplicateReply(fingerprint uint64) once.Reply {
+func (e *claim) duplicateReply(fingerprint uint64) idempotency.Reply {
 	switch {
 	case e.fingerprint != fingerprint:
-		return once.Reply{Verdict: once.Mismatch}
+		return idempotency.Reply{Verdict: idempotency.Mismatch}
 	case e.state == answered:
-		return once.Reply{Verdict: once.Answered, Answer: e.answer}
+		return idempotency.Reply{Verdict: idempotency.Answered, Answer: e.answer}
 	}
-	return once.Reply{Verdict: once.Held, Owner: e.token}
+	return idempotency.Reply{Verdict: idempotency.Held, Owner: e.token}
 }
 
 // Peek returns what is known about a key without claiming it, or NotHeld if nothing
 // is. It may be called on a single source, which may lag behind: what it knows was
 // committed, and what it does not know may have been committed as well.
-func (t *Table) Peek(id once.ID, fingerprint uint64) once.Reply {
+func (t *Table) Peek(id idempotency.ID, fingerprint uint64) idempotency.Reply {
 	e := t.claims[id]
 	if e == nil || e.state == released {
-		return once.Reply{Verdict: once.NotHeld}
+		return idempotency.Reply{Verdict: idempotency.NotHeld}
 	}
 	return e.duplicateReply(fingerprint)
 }
 
-func (t *Table) grant(c *Command) once.Reply {
+func (t *Table) grant(c *Command) idempotency.Reply {
 	if len(t.claims) >= t.limits.Claims && !t.evictOldest() {
-		return once.Reply{Verdict: once.Full, Wait: t.evictionWait()}
+		return idempotency.Reply{Verdict: idempotency.Full, Wait: t.evictionWait()}
 	}
 	e := &claim{id: c.ID, fingerprint: c.Fingerprint, token: t.intern(c.Token), state: held, since: t.now}
 	e.element = t.active.PushBack(e)
 	t.claims[c.ID] = e
-	return once.Reply{Verdict: once.Granted}
+	return idempotency.Reply{Verdict: idempotency.Granted}
 }
 
 // maxEvictionScan limits the number of claims that evictOldest examines.
@@ -204,13 +204,13 @@
 	return retention - time.Duration(t.now-e.since)*time.Millisecond
 }
 
-func (t *Table) answer(c *Command) once.Reply {
+func (t *Table) answer(c *Command) idempotency.Reply {
 	e := t.claims[c.ID]
 	if e == nil || e.token != c.Token || e.state == released || c.Answer == nil {
-		return once.Reply{Verdict: once.NotHeld}
+		return idempotency.Reply{Verdict: idempotency.NotHeld}
 	}
 	if e.state == answered {
-		return once.Reply{Verdict: once.Done}
+		return idempotency.Reply{Verdict: idempotency.Done}
 	}
 	e.state, e.answer, e.answeredAt = answered, c.Answer, t.now
 	if size := c.Answer.Size(); size > 0 {
@@ -220,14 +220,14 @@
 	for t.answerBytes > t.limits.AnswerBytes {
 		t.discardAnswer(t.answers.Front().Value.(*claim))
 	}
-	return once.Reply{Verdict: once.Done}
+	return idempotency.Reply{Verdict: idempotency.Done}
 }
 
 // discardAnswer removes the content of an answer and only keeps the fact that the
 // request was run.
 func (t *Table) discardAnswer(e *claim) {
 	t.removeAnswer(e)
-	e.answer = &once.Answer{Code: e.answer.Code, Dropped: true}
+	e.answer = &idempotency.Answer{Code: e.answer.Code, Dropped: true}
 }
 
 func (t *Table) removeAnswer(e *claim) {
@@ -241,18 +241,18 @@
 
 // release releases a claim that the token holds. For a claim that has not arrived it
 // adds a tombstone, so that the claim is refused later.
-func (t *Table) release(c *Command) once.Reply {
+func (t *Table) release(c *Command) idempotency.Reply {
 	e := t.claims[c.ID]
 	if e != nil && e.state == held && e.token == c.Token {
 		t.remove(e)
 		t.addTombstone(c)
-		return once.Reply{Verdict: once.Done}
+		return idempotency.Reply{Verdict: idempotency.Done}
 	}
 	if e == nil && len(t.claims) < t.limits.Claims {
 		t.addTombstone(c)
-		return once.Reply{Verdict: once.Done}
+		return idempotency.Reply{Verdict: idempotency.Done}
 	}
-	return once.Reply{Verdict: once.NotHeld}
+	return idempotency.Reply{Verdict: idempotency.NotHeld}
 }
 
 func (t *Table) addTombstone(c *Command) {
@@ -293,7 +293,7 @@
 	}
 }
 
-func (t *Table) intern(token once.Token) once.Token {
+func (t *Table) intern(token idempotency.Token) idempotency.Token {
 	name, known := t.ownerNames[token.Node]
 	if !known {
 		name = token.Node
--- a/internal/process/claims/table_test.go
+++ b/internal/process/claims/table_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/daisygate/daisygate/internal/process/claims"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/result"
 )
 
@@ -49,25 +49,25 @@
 	fields := strings.Fields(strings.ReplaceAll(line, "/", " ") + " -")[:6]
 	_, err := fmt.Sscan(strings.Join(fields, " "), &second, &kind, &key, &daemon, &seq, &rest)
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", line))
-	c := claims.Command{ID: once.NewID("mesh", key), Now: second * 1000, Token: once.Token{Node: daemon, Incarnation: 1, Seq: uint64(seq)}}
+	c := claims.Command{ID: idempotency.NewID("mesh", key), Now: second * 1000, Token: idempotency.Token{Node: daemon, Incarnation: 1, Seq: uint64(seq)}}
 	switch kind {
 	case "claim":
-		r := once.Request{Path: rest}
+		r := idempotency.Request{Path: rest}
 		c.Kind, c.Fingerprint = claims.KindClaim, r.Fingerprint()
 	case "answer":
-		c.Kind, c.Answer = claims.KindAnswer, &once.Answer{Status: 200, Body: []byte(rest)}
+		c.Kind, c.Answer = claims.KindAnswer, &idempotency.Answer{Status: 200, Body: []byte(rest)}
 	case "release":
 		c.Kind = claims.KindRelease
 	}
 	return fmt.Sprintf("%s -> %s\n", line, describe(table.Execute(&c)))
 }
 
-func describe(r once.Reply) string {
-	step := once.ClaimStep(r, func(owner once.Token) bool { return owner.Node != "dead" })
+func describe(r idempotency.Reply) string {
+	step := idempotency.ClaimStep(r, func(owner idempotency.Token) bool { return owner.Node != "dead" })
 	switch {
-	case r.Verdict == once.Done:
+	case r.Verdict == idempotency.Done:
 		return "done"
-	case r.Verdict == once.NotHeld:
+	case r.Verdict == idempotency.NotHeld:
 		return "not held"
 	case step.Replay != nil:
 		return fmt.Sprintf("first answer %q", step.Replay.Body)
@@ -86,7 +86,7 @@
 type run struct {
 	key         int
 	fingerprint uint64
-	token       once.Token
+	token       idempotency.Token
 	granted     bool
 	finished    bool
 	// since is when the claim was granted.
@@ -127,7 +127,7 @@
 	answers map[int]string
 }
 
-func (o *oracle) do(c claims.Command) once.Reply {
+func (o *oracle) do(c claims.Command) idempotency.Reply {
 	c.Now = o.now.UnixMilli()
 	if o.now.After(o.latest) {
 		o.latest = o.now
@@ -143,11 +143,11 @@
 	return reply
 }
 
-func id(key int) once.ID { return once.NewID("m", fmt.Sprint(key)) }
+func id(key int) idempotency.ID { return idempotency.NewID("m", fmt.Sprint(key)) }
 
 func (o *oracle) claim(t *rapid.T) {
 	o.seq++
-	r := &run{key: rapid.IntRange(0, 7).Draw(t, "key"), token: once.Token{Node: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "daemon"), Seq: o.seq}}
+	r := &run{key: rapid.IntRange(0, 7).Draw(t, "key"), token: idempotency.Token{Node: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "daemon"), Seq: o.seq}}
 	r.fingerprint = uint64(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "request"))
 	o.runs = append(o.runs, r)
 	o.send(t, r)
@@ -163,18 +163,18 @@
 func (o *oracle) send(t *rapid.T, r *run) {
 	reply := o.do(claims.Command{Kind: claims.KindClaim, ID: id(r.key), Fingerprint: r.fingerprint, Token: r.token})
 	lost := rapid.IntRange(0, 4).Draw(t, "lost") == 0
-	if reply.Verdict == once.Answered && reply.Answer.Code == result.OK && string(reply.Answer.Body) != o.answers[r.key] {
+	if reply.Verdict == idempotency.Answered && reply.Answer.Code == result.OK && string(reply.Answer.Body) != o.answers[r.key] {
 		t.Fatalf("key %d: answer %q, first was %q", r.key, reply.Answer.Body, o.answers[r.key])
 	}
 	switch {
-	case r.finished && reply.Verdict == once.Granted:
+	case r.finished && reply.Verdict == idempotency.Granted:
 		// The claim arrived long after its release. Nobody waits for it.
 	case lost && !r.granted && !r.finished:
 		r.finished = true
 		o.do(claims.Command{Kind: claims.KindRelease, ID: id(r.key), Token: r.token})
-	case reply.Verdict == once.Granted && !r.granted:
+	case reply.Verdict == idempotency.Granted && !r.granted:
 		o.run(t, r)
-	case reply.Verdict != once.Granted && !r.granted:
+	case reply.Verdict != idempotency.Granted && !r.granted:
 		r.finished = true
 	}
 }
@@ -205,17 +205,17 @@
 	r.finished = true
 	code := rapid.SampledFrom([]result.Code{result.OK, result.OK, result.BackendRefused, result.AnswerLost, result.CallerLeft}).Draw(t, "end")
 	body := fmt.Sprintf("answer %d", r.token.Seq)
-	answer := once.AnswerToRecord(code, &once.Answer{Status: 200, Body: []byte(body)})
+	answer := idempotency.AnswerToRecord(code, &idempotency.Answer{Status: 200, Body: []byte(body)})
 	c := claims.Command{Kind: claims.KindRelease, ID: id(r.key), Token: r.token}
 	if answer != nil {
 		c.Kind, c.Answer = claims.KindAnswer, answer
 	}
 	verdict := o.do(c).Verdict
 	current := o.lastRun[r.key] == r && o.latest.Sub(r.since) < oracleLimits.Retention
-	if verdict != once.Done && current {
+	if verdict != idempotency.Done && current {
 		t.Fatalf("key %d: recording the end of the owner's run returned verdict %d", r.key, verdict)
 	}
-	if verdict == once.Done && code == result.OK {
+	if verdict == idempotency.Done && code == result.OK {
 		o.answers[r.key] = body
 	}
 	if code == result.BackendRefused && current {
--- a/internal/process/daemon/claims.go
+++ b/internal/process/daemon/claims.go
@@ -17,7 +17,7 @@
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
 	"github.com/daisygate/daisygate/internal/process/telemetry"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/result"
 )
 
@@ -48,7 +48,7 @@
 	// Code is OK if Reply is valid, else the reason why there is no reply.
 	Code   result.Code
 	Detail string
-	Reply  once.Reply
+	Reply  idempotency.Reply
 	// Lead is the name of the group's leader, "" if it is not known.
 	Lead string
 }
@@ -62,7 +62,7 @@
 	suspects *gateway.Quarantine
 	// group and table are nil if the daemon is not a source. Only the group's goroutine may
 	// use table.
-	group *quorum.Group[once.Reply]
+	group *quorum.Group[idempotency.Reply]
 	table *claims.Table
 	// preferred is the index in the settings of the member that is asked first.
 	preferred atomic.Int64
@@ -94,7 +94,7 @@
 
 // ownerAlive reports whether the process that made a claim still runs, according to the
 // presence records known here.
-func (s *claimManager) ownerAlive(owner once.Token) bool {
+func (s *claimManager) ownerAlive(owner idempotency.Token) bool {
 	if owner.Node == s.d.settings.Node {
 		return owner.Incarnation == s.d.incarnation
 	}
@@ -159,7 +159,7 @@
 
 // Do implements gateway.ClaimTable. It sends the command to the sources one after another,
 // starting with the leader if it is known.
-func (s *claimManager) Do(ctx context.Context, c claims.Command) (once.Reply, bool, error) {
+func (s *claimManager) Do(ctx context.Context, c claims.Command) (idempotency.Reply, bool, error) {
 	members := s.d.settings.Source.Members
 	committed := false
 	var last error = result.Errorf(result.NoQuorum, "the settings name no sources")
@@ -178,12 +178,12 @@
 		committed = committed || mayBeCommitted(err)
 		last = err
 	}
-	return once.Reply{}, committed, last
+	return idempotency.Reply{}, committed, last
 }
 
 // Peek implements gateway.ClaimTable.
-func (s *claimManager) Peek(ctx context.Context, c claims.Command) once.Reply {
-	notHeld := once.Reply{Verdict: once.NotHeld}
+func (s *claimManager) Peek(ctx context.Context, c claims.Command) idempotency.Reply {
+	notHeld := idempotency.Reply{Verdict: idempotency.NotHeld}
 	members := s.d.settings.Source.Members
 	switch {
 	case s.group != nil:
@@ -191,7 +191,7 @@
 	case len(members) == 0:
 		return notHeld
 	}
-	var reply once.Reply
+	var reply idempotency.Reply
 	if err := s.d.pool.Call(ctx, members[s.reachable.Load()].Peer, claimsPeek, c, &reply); err != nil {
 		return notHeld
 	}
@@ -199,9 +199,9 @@
 }
 
 // peekLocal reads this source's replica of the table.
-func (s *claimManager) peekLocal(ctx context.Context, c claims.Command) once.Reply {
-	reply := once.Reply{Verdict: once.NotHeld}
-	replies := make(chan once.Reply, 1)
+func (s *claimManager) peekLocal(ctx context.Context, c claims.Command) idempotency.Reply {
+	reply := idempotency.Reply{Verdict: idempotency.NotHeld}
+	replies := make(chan idempotency.Reply, 1)
 	if err := s.group.Query(ctx, func() { replies <- s.table.Peek(c.ID, c.Fingerprint) }); err == nil {
 		reply = <-replies
 	}
@@ -304,7 +304,7 @@
 }
 
 // Peek returns what this source's replica holds for a key, without a quorum.
-func (s *claimsService) Peek(c claims.Command, reply *once.Reply) error {
+func (s *claimsService) Peek(c claims.Command, reply *idempotency.Reply) error {
 	if s.d.claims.group == nil {
 		return errNotSource
 	}
--- a/internal/process/daemon/wire_test.go
+++ b/internal/process/daemon/wire_test.go
@@ -14,7 +14,7 @@
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
 	"github.com/daisygate/daisygate/internal/process/source"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
@@ -32,7 +32,7 @@
 		t.Run("gob "+name, func(t *testing.T) { testRoundTrip(t, typ, gobRoundTrip) })
 	}
 	for _, typ := range []reflect.Type{
-		reflect.TypeFor[source.Command](), reflect.TypeFor[source.Answer](), reflect.TypeFor[source.HistoryEntry](), reflect.TypeFor[once.Reply](),
+		reflect.TypeFor[source.Command](), reflect.TypeFor[source.Answer](), reflect.TypeFor[source.HistoryEntry](), reflect.TypeFor[idempotency.Reply](),
 	} {
 		t.Run("cbor "+typ.String(), func(t *testing.T) { testRoundTrip(t, typ, cborRoundTrip(quorum.Encode)) })
 	}
--- a/internal/request/once/claim.go
+++ b/internal/request/idempotency/claim.go
@@ -1,4 +1,4 @@
-// Package once decides, for one request that must run at most once, whether it may be
+// Package idempotency decides, for one request that must run at most once, whether it may be
 // sent to a backend server and what becomes of its claim afterwards.
 //
 // A caller identifies such a request with an idempotency key. The daemon that receives
@@ -8,7 +8,7 @@
 // still in progress, or the code that its outcome is unknown.
 //
 // The package does no I/O and reads no clock.
-package once
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/request/once/decide.go
+++ b/internal/request/idempotency/decide.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"time"
