--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -25,13 +25,13 @@
 	"github.com/daisygate/daisygate/internal/connection/limit"
 	"github.com/daisygate/daisygate/internal/connection/operator"
 	"github.com/daisygate/daisygate/internal/connection/peer"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/mesh"
 	"github.com/daisygate/daisygate/internal/process/presence"
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
 	"github.com/daisygate/daisygate/internal/process/settings"
 	"github.com/daisygate/daisygate/internal/process/source"
-	"github.com/daisygate/daisygate/internal/process/spread"
 	"github.com/daisygate/daisygate/internal/process/storage"
 	"github.com/daisygate/daisygate/internal/process/telemetry"
 	"github.com/daisygate/daisygate/internal/process/view"
@@ -195,7 +195,7 @@
 			Self: d.self, Seeds: d.otherSeeds(d.settings.Seeds), Active: activeLinks, Max: maxLinks,
 			Silence: linkSilence, Interval: linkInterval, Backoff: d.settings.JoinBackoff, Seed: seed,
 		},
-		Spread: spread.Config{Self: d.settings.Node, Seed: seed},
+		Spread: dissemination.Config{Self: d.settings.Node, Seed: seed},
 		Presence: presence.Config{
 			Self: d.self, Incarnation: incarnation, DigestInterval: presenceInterval, SuspectFor: suspectFor,
 			ForgetAfter: forgetAfter, ProbeInterval: probeInterval, Seed: seed,
--- a/internal/process/daemon/leadership.go
+++ b/internal/process/daemon/leadership.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/replica"
-	"github.com/daisygate/daisygate/internal/process/spread"
 )
 
 const (
@@ -45,14 +45,14 @@
 	last    atomic.Pointer[quorumRound]
 }
 
-// state returns what package spread needs to know of this source's leadership, nil if it is
+// state returns what package dissemination needs to know of this source's leadership, nil if it is
 // not the leader. If asked is set, state also starts a round unless one is running.
-func (l *leadership) state(now time.Time, asked bool) *spread.Leadership {
+func (l *leadership) state(now time.Time, asked bool) *dissemination.Leadership {
 	term, leads := l.leads()
 	if !leads {
 		return nil
 	}
-	lead := &spread.Leadership{Term: term, Version: l.version()}
+	lead := &dissemination.Leadership{Term: term, Version: l.version()}
 	if last := l.last.Load(); last != nil && last.term == term {
 		lead.Quorum = last.started
 	}
@@ -112,7 +112,7 @@
 }
 
 // leadershipState implements mesh.Config.Leadership.
-func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Leadership {
+func (d *Daemon) leadershipState(now time.Time, asked bool) *dissemination.Leadership {
 	if d.leadership == nil {
 		return nil
 	}
--- a/internal/process/spread/confirm.go
+++ b/internal/process/dissemination/confirm.go
@@ -1,4 +1,4 @@
-package spread
+package dissemination
 
 import (
 	"math/rand/v2"
--- a/internal/process/spread/core.go
+++ b/internal/process/dissemination/core.go
@@ -1,4 +1,4 @@
-// Package spread implements the dissemination of accepted versions to all daemons.
+// Package dissemination implements the dissemination of accepted versions to all daemons.
 //
 // The leader's heartbeat builds a distribution tree over the links between daemons. Each node
 // chooses as its parent the link with the fewest hops to the leader and announces the choice
@@ -13,7 +13,7 @@
 // The package performs no I/O: its inputs are messages, the current time and a seed, its
 // outputs are actions. A Core never installs a version lower than its current one, or a
 // version that does not compile.
-package spread
+package dissemination
 
 import (
 	"math/rand/v2"
--- a/internal/process/spread/spread_test.go
+++ b/internal/process/dissemination/dissemination_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/version/fleet"
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
@@ -17,11 +17,11 @@
 	c := qt.New(t)
 	state, err := fleet.Empty().Accept(&manifest.Manifest{Mesh: "m", Version: 1})
 	c.Assert(err, qt.IsNil)
-	core := spread.New(spread.Config{Self: "a", Seed: 1}, state)
+	core := dissemination.New(dissemination.Config{Self: "a", Seed: 1}, state)
 	c.Assert(core.LinkUp("b")[0].Send.Message.Digest.Hash, qt.Equals, state.Hash())
 	now := time.Unix(1e9, 0)
-	other := spread.Message{Digest: &spread.Digest{Version: 1, Hash: state.Hash() + 1}}
-	want := []spread.Action{{Diverged: &spread.Diverged{Node: "b", Version: 1, Own: state.Hash(), Other: state.Hash() + 1}}}
+	other := dissemination.Message{Digest: &dissemination.Digest{Version: 1, Hash: state.Hash() + 1}}
+	want := []dissemination.Action{{Diverged: &dissemination.Diverged{Node: "b", Version: 1, Own: state.Hash(), Other: state.Hash() + 1}}}
 	c.Assert(core.Receive(now, "b", other), qt.DeepEquals, want)
 	c.Assert(core.Receive(now, "b", other), qt.HasLen, 0)
 	c.Assert(core.State(), qt.Equals, state)
@@ -36,16 +36,16 @@
 	c.Assert(err, qt.IsNil)
 	next, err := state.Accept(&manifest.Manifest{Mesh: "m", Version: 2})
 	c.Assert(err, qt.IsNil)
-	core := spread.New(spread.Config{Self: "a", Seed: 1}, state)
+	core := dissemination.New(dissemination.Config{Self: "a", Seed: 1}, state)
 	core.LinkUp("b")
 	delta := fleet.Diff(state, next)
 	delta.Hash++
 	raw, err := delta.Encode()
 	c.Assert(err, qt.IsNil)
 	packed := fleet.Pack(raw)
-	actions := core.Receive(time.Unix(1e9, 0), "b", spread.Message{Chunk: &spread.Chunk{Version: 2, Size: len(packed), Data: packed}})
+	actions := core.Receive(time.Unix(1e9, 0), "b", dissemination.Message{Chunk: &dissemination.Chunk{Version: 2, Size: len(packed), Data: packed}})
 	c.Assert(actions, qt.HasLen, 2)
 	c.Assert(actions[0].Rejected, qt.ErrorIs, fleet.ErrHash)
-	c.Assert(actions[1].Send.Message.Pull, qt.DeepEquals, &spread.Pull{Version: 1, Full: true})
+	c.Assert(actions[1].Send.Message.Pull, qt.DeepEquals, &dissemination.Pull{Version: 1, Full: true})
 	c.Assert(core.State(), qt.Equals, state)
 }
--- a/internal/process/spread/driver_test.go
+++ b/internal/process/dissemination/driver_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/view"
 	"github.com/daisygate/daisygate/internal/version/fleet"
 	"github.com/daisygate/daisygate/internal/version/manifest"
@@ -27,7 +27,7 @@
 // version in the log of a source, is kept.
 type node struct {
 	name          string
-	core          *spread.Core
+	core          *dissemination.Core
 	dead, frozen  bool
 	source        bool
 	logVersion    int
@@ -45,13 +45,13 @@
 type packet struct {
 	at       time.Duration
 	from, to string
-	m        spread.Message
+	m        dissemination.Message
 }
 
 // network runs cores in memory. Time advances in steps, all delays are random but
 // reproducible from the seed, and the log of the sources is a plain list of accepted states.
 type network struct {
-	cfg         spread.Config
+	cfg         dissemination.Config
 	rand        *rand.Rand
 	now         time.Duration
 	nodes       map[string]*node
@@ -67,21 +67,21 @@
 	term       uint64
 	quorum     time.Duration
 	deposed    string
-	oldLead    spread.Leadership
+	oldLead    dissemination.Leadership
 	deposedEnd time.Duration
 	fault      func(p packet) []time.Duration
 	trace      func(format string, args ...any)
 	failure    error
-	size       func(m spread.Message) int
+	size       func(m dissemination.Message) int
 }
 
 var epoch = time.Unix(1e9, 0)
 
-func newNetwork(seed uint64, size, degree int, cfg spread.Config) *network {
+func newNetwork(seed uint64, size, degree int, cfg dissemination.Config) *network {
 	n := &network{
 		cfg: cfg, rand: rand.New(rand.NewPCG(seed, 7)), nodes: map[string]*node{},
 		edges: map[[2]string]time.Duration{}, partition: map[string]int{},
-		log: []*fleet.State{fleet.Empty()}, trace: func(string, ...any) {}, size: func(spread.Message) int { return 0 },
+		log: []*fleet.State{fleet.Empty()}, trace: func(string, ...any) {}, size: func(dissemination.Message) int { return 0 },
 	}
 	for i := range size {
 		name := fmt.Sprintf("n%03d", i)
@@ -111,15 +111,15 @@
 // sizer returns a function that computes the encoded size of a message in its own envelope,
 // including the net/rpc headers of request and response, on a connection over which the
 // types have already been sent.
-func sizer() func(spread.Message) int {
-	type item struct{ Spread *spread.Message }
+func sizer() func(dissemination.Message) int {
+	type item struct{ Spread *dissemination.Message }
 	type envelope struct {
 		From  view.Node
 		Items []item
 	}
 	var buf bytes.Buffer
 	enc := gob.NewEncoder(&buf)
-	size := func(m spread.Message) int {
+	size := func(m dissemination.Message) int {
 		buf.Reset()
 		from := view.Node{Name: "n000", Addr: "127.0.0.1:40000", Domain: "d1"}
 		_ = enc.Encode(rpc.Request{ServiceMethod: "Mesh.Deliver", Seq: 1000})
@@ -127,8 +127,8 @@
 		_ = enc.Encode(rpc.Response{ServiceMethod: "Mesh.Deliver", Seq: 1000})
 		return buf.Len()
 	}
-	all := spread.Message{Digest: &spread.Digest{InForce: &spread.InForce{}, Report: &spread.Report{}, Confirmed: &spread.Confirmed{}},
-		Chunk: &spread.Chunk{}, Pull: &spread.Pull{}, Busy: &spread.Busy{}}
+	all := dissemination.Message{Digest: &dissemination.Digest{InForce: &dissemination.InForce{}, Report: &dissemination.Report{}, Confirmed: &dissemination.Confirmed{}},
+		Chunk: &dissemination.Chunk{}, Pull: &dissemination.Pull{}, Busy: &dissemination.Busy{}}
 	size(all)
 	return size
 }
@@ -136,7 +136,7 @@
 func (n *network) restart(d *node) {
 	cfg := n.cfg
 	cfg.Self, cfg.Seed = d.name, n.rand.Uint64()
-	d.core = spread.New(cfg, fleet.Empty())
+	d.core = dissemination.New(cfg, fleet.Empty())
 	d.dead, d.frozen, d.minVersion = false, false, d.highest
 	if n.deposed == d.name {
 		n.deposed = ""
@@ -219,11 +219,11 @@
 	}
 }
 
-func (n *network) leadership(d *node) spread.Leadership {
-	return spread.Leadership{Term: n.term, Version: uint64(d.logVersion), Quorum: epoch.Add(n.quorum)}
+func (n *network) leadership(d *node) dissemination.Leadership {
+	return dissemination.Leadership{Term: n.term, Version: uint64(d.logVersion), Quorum: epoch.Add(n.quorum)}
 }
 
-func (n *network) leadOf(d *node) *spread.Leadership {
+func (n *network) leadOf(d *node) *dissemination.Leadership {
 	switch {
 	case d.name == n.lead && n.now-n.quorum < lease:
 		lead := n.leadership(d)
@@ -294,7 +294,7 @@
 }
 
 // execute carries out actions and checks each installed version against the log.
-func (n *network) execute(d *node, actions []spread.Action) {
+func (n *network) execute(d *node, actions []dissemination.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Send != nil:
@@ -315,7 +315,7 @@
 			if v != d.core.State().Version || v >= uint64(len(n.log)) || a.Install.Hash != n.log[v].Hash() {
 				n.failure = fmt.Errorf("%s installed version %d with content that was never accepted", d.name, v)
 			}
-			if d.core.Confirmed() != spread.Unconfirmed && v < d.highest && d.core.Confirmed() == spread.ByQuorum {
+			if d.core.Confirmed() != dissemination.Unconfirmed && v < d.highest && d.core.Confirmed() == dissemination.ByQuorum {
 				n.failure = fmt.Errorf("%s went back from version %d to %d", d.name, d.highest, v)
 			}
 			d.highest, d.installedAt = max(d.highest, v), n.now
@@ -327,7 +327,7 @@
 			d.seeks++
 		}
 	}
-	if d.core.Confirmed() == spread.ByQuorum && d.core.State().Version < d.minVersion {
+	if d.core.Confirmed() == dissemination.ByQuorum && d.core.State().Version < d.minVersion {
 		n.failure = fmt.Errorf("%s is ready at version %d but had %d before its restart", d.name, d.core.State().Version, d.minVersion)
 	}
 }
--- a/internal/process/spread/fuzz_test.go
+++ b/internal/process/dissemination/fuzz_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
@@ -20,7 +20,7 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.OneOf(rapid.IntRange(3, 8), rapid.IntRange(3, 50)).Draw(t, "size")
-		cfg := spread.Config{ChunkBytes: rapid.SampledFrom([]int{128, 64 << 10}).Draw(t, "chunk"), History: rapid.SampledFrom([]int{2, 64}).Draw(t, "history")}
+		cfg := dissemination.Config{ChunkBytes: rapid.SampledFrom([]int{128, 64 << 10}).Draw(t, "chunk"), History: rapid.SampledFrom([]int{2, 64}).Draw(t, "history")}
 		n := newNetwork(rapid.Uint64().Draw(t, "seed"), size, 4, cfg)
 		n.run(3 * time.Second)
 		anyNode := func() *node { return n.nodes[fmt.Sprintf("n%03d", rapid.IntRange(0, size-1).Draw(t, "node"))] }
@@ -122,13 +122,13 @@
 func (n *network) checkConverged(t *rapid.T) {
 	var sum uint64
 	for _, d := range n.sorted() {
-		sum += spread.NodeHash(d.name)
+		sum += dissemination.NodeHash(d.name)
 		parent, depth := d.core.Parent()
 		at := fmt.Sprintf("%s at %d, parent %q, depth %d", d.name, d.core.State().Version, parent, depth)
 		if d.core.State().Version != uint64(len(n.log)-1) {
 			t.Fatalf("%s: want version %d", at, len(n.log)-1)
 		}
-		if d.core.Stale(epoch.Add(n.now)) || d.core.Confirmed() == spread.Unconfirmed {
+		if d.core.Stale(epoch.Add(n.now)) || d.core.Confirmed() == dissemination.Unconfirmed {
 			t.Fatalf("%s: stale or unconfirmed", at)
 		}
 	}
--- a/internal/process/spread/golden_test.go
+++ b/internal/process/dissemination/golden_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 	qt "github.com/frankban/quicktest"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
 
@@ -55,7 +55,7 @@
 		d.ScanArgs(t, "size", &size)
 		d.MaybeScanArgs(t, "chunk", &chunk)
 		d.MaybeScanArgs(t, "transfers", &transfers)
-		s.net = newNetwork(1, size, 4, spread.Config{ChunkBytes: chunk, MaxTransfers: transfers})
+		s.net = newNetwork(1, size, 4, dissemination.Config{ChunkBytes: chunk, MaxTransfers: transfers})
 		if d.Input != "" {
 			s.net.sortedEdges = nil
 		}
--- a/internal/process/spread/herd_test.go
+++ b/internal/process/dissemination/herd_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"slices"
@@ -7,14 +7,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 )
 
 // delayAfterPowerLoss simulates a power loss of 1.2 s at 47 of 96 daemons and accepts a version one
 // second after the loss. It returns the time from the acceptance until the version is in
 // force at all daemons that kept their power.
 func delayAfterPowerLoss(c *qt.C, seed uint64) time.Duration {
-	n := newNetwork(seed, 96, 6, spread.Config{})
+	n := newNetwork(seed, 96, 6, dissemination.Config{})
 	for _, d := range n.sorted() {
 		d.core.SetFleetSize(96)
 	}
--- a/internal/process/spread/measure_test.go
+++ b/internal/process/dissemination/measure_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package dissemination_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/version/fleet"
 	"github.com/daisygate/daisygate/internal/version/manifest"
 )
@@ -86,7 +86,7 @@
 func measure(c *qt.C, size int) cost {
 	const idle, changes = 5, 5
 	f := cost{nodes: size}
-	n := newNetwork(1, size, 6, spread.Config{})
+	n := newNetwork(1, size, 6, dissemination.Config{})
 	n.size = sizer()
 	n.run(3 * time.Second)
 	c.Assert(n.accept(manyRoutes), qt.IsTrue)
@@ -123,7 +123,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	const size, waves = 200, 10
-	n := newNetwork(1, size, 6, spread.Config{})
+	n := newNetwork(1, size, 6, dissemination.Config{})
 	n.run(3 * time.Second)
 	c.Assert(n.accept(manyRoutes), qt.IsTrue)
 	n.run(3 * time.Second)
@@ -151,7 +151,7 @@
 				case d.dead && n.now >= down[d]:
 					n.restart(d)
 					down[d] = n.now
-				case !d.dead && down[d] > 0 && d.core.Confirmed() == spread.ByQuorum:
+				case !d.dead && down[d] > 0 && d.core.Confirmed() == dissemination.ByQuorum:
 					readyTimes = append(readyTimes, n.now-down[d])
 					delete(down, d)
 				}
--- a/internal/process/mesh/mesh.go
+++ b/internal/process/mesh/mesh.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-logr/logr"
 
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/presence"
-	"github.com/daisygate/daisygate/internal/process/spread"
 	"github.com/daisygate/daisygate/internal/process/view"
 	"github.com/daisygate/daisygate/internal/version/directory"
 	"github.com/daisygate/daisygate/internal/version/fleet"
@@ -21,7 +21,7 @@
 // Item is one message. Exactly one field is set.
 type Item struct {
 	View     *view.Message
-	Spread   *spread.Message
+	Spread   *dissemination.Message
 	Presence *presence.Message
 }
 
@@ -43,7 +43,7 @@
 // Config configures a Mesh. It must not change after New.
 type Config struct {
 	View     view.Config
-	Spread   spread.Config
+	Spread   dissemination.Config
 	Presence presence.Config
 	// TickInterval is the time between ticks of view, spread and presence.
 	TickInterval time.Duration
@@ -53,7 +53,7 @@
 	Probe Prober
 	// Leadership returns the state of this node's leadership of the sources, nil while it is
 	// not the leader. If asked is set, a newer Quorum is needed.
-	Leadership func(now time.Time, asked bool) *spread.Leadership
+	Leadership func(now time.Time, asked bool) *dissemination.Leadership
 }
 
 // Status is the status of a daemon's control plane.
@@ -73,7 +73,7 @@
 	sender Sender
 
 	members  *members
-	spread   *spread.Core
+	spread   *dissemination.Core
 	current  *snapshot.Snapshot
 	versions versions
 	changed  bool
@@ -94,7 +94,7 @@
 	}
 	m := &Mesh{
 		cfg: cfg, log: log, sender: sender,
-		members: newMembers(cfg, empty), spread: spread.New(cfg.Spread, fleet.Empty()),
+		members: newMembers(cfg, empty), spread: dissemination.New(cfg.Spread, fleet.Empty()),
 		current: empty, ops: make(chan func(time.Time), 256),
 	}
 	m.publish(time.Now())
--- a/internal/process/mesh/versions.go
+++ b/internal/process/mesh/versions.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
-	"github.com/daisygate/daisygate/internal/process/spread"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/version/directory"
 	"github.com/daisygate/daisygate/internal/version/fleet"
 )
 
 // VersionStatus is the status of the version in force at a daemon.
 type VersionStatus struct {
-	Version   uint64           `json:"version"`
-	Hash      uint64           `json:"hash"`
-	Heartbeat spread.Heartbeat `json:"heartbeat"`
+	Version   uint64                  `json:"version"`
+	Hash      uint64                  `json:"hash"`
+	Heartbeat dissemination.Heartbeat `json:"heartbeat"`
 	// Stale is set while the leader's heartbeat is missing: newer versions may be in force
 	// elsewhere.
 	Stale bool `json:"stale"`
@@ -46,7 +46,7 @@
 // versions is the part of a Mesh that manages versions.
 type versions struct {
 	diverged uint64
-	// fleetHash is the sum of spread.NodeHash over the daemons of the fleet, computed when
+	// fleetHash is the sum of dissemination.NodeHash over the daemons of the fleet, computed when
 	// hashedAt was the current directory.
 	fleetHash uint64
 	hashedAt  *directory.Directory
@@ -62,7 +62,7 @@
 }
 
 // runSpreadActions executes the actions of the spread core.
-func (m *Mesh) runSpreadActions(actions []spread.Action) {
+func (m *Mesh) runSpreadActions(actions []dissemination.Action) {
 	for _, a := range actions {
 		switch {
 		case a.Send != nil:
@@ -85,7 +85,7 @@
 	}
 }
 
-func (m *Mesh) reportDiverged(d *spread.Diverged) {
+func (m *Mesh) reportDiverged(d *dissemination.Diverged) {
 	m.versions.diverged++
 	m.log.Error(nil, "another daemon has different content under the same version; keeping the local content",
 		"node", d.Node, "version", d.Version, "own", d.Own, "other", d.Other)
@@ -94,7 +94,7 @@
 func (m *Mesh) versionStatus(now time.Time) VersionStatus {
 	s := VersionStatus{
 		Version: m.current.Version, Hash: m.current.Hash, Stale: m.spread.Stale(now),
-		Confirmed:   m.spread.Confirmed() != spread.Unconfirmed,
+		Confirmed:   m.spread.Confirmed() != dissemination.Unconfirmed,
 		ConfirmedBy: m.spread.Confirmed().String(),
 		Diverged:    m.versions.diverged, InForce: m.inForce(),
 	}
@@ -111,14 +111,14 @@
 	return in
 }
 
-// fleetNameHash returns the value of spread.InForce.Sum if every daemon is counted exactly
+// fleetNameHash returns the value of dissemination.InForce.Sum if every daemon is counted exactly
 // once. It is cached per directory.
 func (m *Mesh) fleetNameHash() uint64 {
 	d := m.directory.Load()
 	if d != nil && d != m.versions.hashedAt {
 		m.versions.fleetHash, m.versions.hashedAt = 0, d
 		for _, r := range m.members.core.Presence().All() {
-			m.versions.fleetHash += spread.NodeHash(r.Node.Name)
+			m.versions.fleetHash += dissemination.NodeHash(r.Node.Name)
 		}
 	}
 	return m.versions.fleetHash
