--- a/bench/backend/main.go
+++ b/bench/backend/main.go
@@ -13,11 +13,11 @@
 	"syscall"
 
 	"github.com/daisygate/daisygate/internal/connection/announce"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 func main() {
-	var cfg standin.Config
+	var cfg testbackend.Config
 	var a announce.Announcement
 	flag.StringVar(&cfg.Listen, "listen", "127.0.0.1:0", "address to serve on, ip:port")
 	flag.StringVar(&cfg.AnnounceAddr, "announce", "127.0.0.1:7100", "announcement address of the local daemon")
@@ -34,8 +34,8 @@
 	}
 }
 
-func run(cfg standin.Config) error {
-	server, err := standin.New(cfg)
+func run(cfg testbackend.Config) error {
+	server, err := testbackend.New(cfg)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 
 // printRuns writes the run counts to stderr, in a line that begins with "runs: ", for the process that
 // stopped this one.
-func printRuns(server *standin.Server) error {
+func printRuns(server *testbackend.Server) error {
 	raw, err := json.Marshal(server.Runs())
 	if err != nil {
 		return err
--- a/bench/calls.go
+++ b/bench/calls.go
@@ -10,7 +10,7 @@
 
 	"github.com/daisygate/daisygate/bench/load"
 	"github.com/daisygate/daisygate/bench/report"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // calls measures the latency that daisygate adds to a call, the cost of a call, and the behaviour
@@ -79,7 +79,7 @@
 
 // delayHeader returns the header that makes a pool server delay its answer.
 func (c *calls) delayHeader() http.Header {
-	return http.Header{http.CanonicalHeaderKey(standin.HeaderDelay): {c.delay.String()}}
+	return http.Header{http.CanonicalHeaderKey(testbackend.HeaderDelay): {c.delay.String()}}
 }
 
 func (c *calls) send(ctx context.Context, r *run, f *callFleet, classes ...load.Class) []*load.Result {
--- a/internal/cli/traffic_test.go
+++ b/internal/cli/traffic_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/daisygate/daisygate/internal/connection/operator"
 	"github.com/daisygate/daisygate/internal/result"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // cmdLosing implements "losing ADDR": it starts a proxy to an operator address
@@ -66,7 +66,7 @@
 	s.cancelHold = cancel
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+args[0]+args[1], nil)
 	ts.Check(err)
-	req.Header.Set(standin.HeaderDelay, "1h")
+	req.Header.Set(testbackend.HeaderDelay, "1h")
 	before := s.running(ts)
 	go func() {
 		if resp, err := http.DefaultClient.Do(req); err == nil {
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(standin.HeaderID, id)
+	req.Header.Set(testbackend.HeaderID, id)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -21,7 +21,7 @@
 	"github.com/daisygate/daisygate/internal/connection/announce"
 	"github.com/daisygate/daisygate/internal/process/daemon"
 	"github.com/daisygate/daisygate/internal/process/settings"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // DefaultNodes is the default number of daemons: the smallest number that tolerates the loss
@@ -81,7 +81,7 @@
 // Mesh is a running mesh.
 type Mesh struct {
 	Nodes   []Node
-	Servers []*standin.Server
+	Servers []*testbackend.Server
 
 	// tempDir is the directory that Stop removes, or "".
 	tempDir string
@@ -220,7 +220,7 @@
 		if s.Version != "" {
 			version = " version " + s.Version
 		}
-		server, err := standin.New(standin.Config{
+		server, err := testbackend.New(testbackend.Config{
 			Listen: "127.0.0.1:0", AnnounceAddr: m.Nodes[s.Node].Announce,
 			Announcement: announce.Announcement{
 				Mesh: s.Mesh, Service: s.Service, Version: s.Version, Slots: serverSlots, Connections: serverConnections,
--- a/internal/standin/standin.go
+++ b/internal/testbackend/testbackend.go
@@ -1,11 +1,11 @@
-// Package standin implements a small backend server for tests and benchmarks.
+// Package testbackend implements a small backend server for tests and benchmarks.
 // It announces itself to the daemon on its instance, runs requests, and records
 // every run, so that lost and duplicated requests can be counted.
 //
 // Request headers control it: X-Standin-Id is the ID of the request in the
 // record, X-Standin-Delay (a Go duration) is how long the request runs, and
 // X-Standin-Crash ends the process while the request is running.
-package standin
+package testbackend
 
 import (
 	"bytes"
--- a/test/e2e/call_test.go
+++ b/test/e2e/call_test.go
@@ -18,7 +18,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/daisygate/daisygate/internal/result"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // newCallCluster starts three nodes in three failure domains, each with a local backend
@@ -51,7 +51,7 @@
 			return err
 		}
 		defer func() { _ = resp.Body.Close() }()
-		if server := resp.Header.Get(standin.HeaderServer); server != local.addr {
+		if server := resp.Header.Get(testbackend.HeaderServer); server != local.addr {
 			return errors.Newf("%s answered by %q, want %s", resp.Status, server, local.addr)
 		}
 		return nil
@@ -84,7 +84,7 @@
 		if err != nil {
 			return callResult{id: id, err: err}
 		}
-		req.Header.Set(standin.HeaderID, id)
+		req.Header.Set(testbackend.HeaderID, id)
 		for i := 0; i+1 < len(header); i += 2 {
 			req.Header.Set(header[i], header[i+1])
 		}
@@ -125,7 +125,7 @@
 				default:
 				}
 				id := fmt.Sprintf("w%d-%d", worker, i)
-				s := sendCall(client, nodes, "POST", "/transfers/"+id, id, strings.NewReader(id), standin.HeaderDelay, delay)
+				s := sendCall(client, nodes, "POST", "/transfers/"+id, id, strings.NewReader(id), testbackend.HeaderDelay, delay)
 				mu.Lock()
 				all = append(all, s)
 				mu.Unlock()
--- a/test/e2e/cluster_test.go
+++ b/test/e2e/cluster_test.go
@@ -21,7 +21,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/daisygate/daisygate/internal/connection/operator"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // eventTimeout bounds every wait for an expected event. It is not a performance requirement.
@@ -205,7 +205,7 @@
 }
 
 func (b *backend) runs(c *qt.C) map[string]int {
-	resp, err := http.Get("http://" + b.addr + standin.RunsPath)
+	resp, err := http.Get("http://" + b.addr + testbackend.RunsPath)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = resp.Body.Close() }()
 	runs := map[string]int{}
--- a/test/e2e/crash_test.go
+++ b/test/e2e/crash_test.go
@@ -13,7 +13,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/daisygate/daisygate/internal/result"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // liveBackends counts the backend servers that still accept connections.
@@ -44,12 +44,12 @@
 	slow := make(chan callResponse, 8)
 	for i := range cap(slow) {
 		go func() {
-			slow <- send(ctx, cl.nodes[i%5], http.MethodGet, fmt.Sprintf("/records/slow-%d", i), "", map[string]string{standin.HeaderDelay: "300ms"})
+			slow <- send(ctx, cl.nodes[i%5], http.MethodGet, fmt.Sprintf("/records/slow-%d", i), "", map[string]string{testbackend.HeaderDelay: "300ms"})
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
 	crash := func(n *node) callResponse {
-		return send(ctx, n, method, path, "transfer", map[string]string{standin.HeaderCrash: "1"})
+		return send(ctx, n, method, path, "transfer", map[string]string{testbackend.HeaderCrash: "1"})
 	}
 	first := crash(cl.nodes[0])
 	c.Assert(first.outcome, qt.Equals, "unknown", qt.Commentf("%+v", first))
@@ -90,7 +90,7 @@
 	c := qt.New(t)
 	cl := newArchiveCluster(c, 3, 0, 1, 2)
 	ctx := context.Background()
-	slow := map[string]string{standin.HeaderDelay: "300ms"}
+	slow := map[string]string{testbackend.HeaderDelay: "300ms"}
 	path := func(i int) string { return fmt.Sprintf("/records/slow-%d", i) }
 	results := make(chan callResponse, 6)
 	for i := range cap(results) {
@@ -128,7 +128,7 @@
 		cl.waitLocalAnswer(n, cl.backends[i])
 	}
 	ctx := context.Background()
-	slow := map[string]string{standin.HeaderDelay: "1s", standin.HeaderID: "rack"}
+	slow := map[string]string{testbackend.HeaderDelay: "1s", testbackend.HeaderID: "rack"}
 	get := func(n *node) callResponse { return send(ctx, n, http.MethodGet, "/records/1", "", slow) }
 	results := make(chan callResponse, 20)
 	for i := range cap(results) {
--- a/test/e2e/once_test.go
+++ b/test/e2e/once_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/daisygate/daisygate/internal/result"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // callResponse is the response that a caller got.
@@ -28,7 +28,7 @@
 // transfer sends a plot transfer, a non-repeatable request with an idempotency key.
 func transfer(ctx context.Context, n *node, key string, header map[string]string) callResponse {
 	return send(ctx, n, http.MethodPost, "/transfers", "transfer "+key, mergeHeaders(header, map[string]string{
-		"Idempotency-Key": key, standin.HeaderID: key,
+		"Idempotency-Key": key, testbackend.HeaderID: key,
 	}))
 }
 
@@ -105,7 +105,7 @@
 	c := qt.New(t)
 	cl := newArchiveCluster(c, 4, 0, 1)
 	ctx := context.Background()
-	slow := map[string]string{standin.HeaderDelay: "500ms"}
+	slow := map[string]string{testbackend.HeaderDelay: "500ms"}
 	results := make(chan callResponse, 2)
 	for _, n := range []*node{cl.nodes[3], cl.nodes[1]} {
 		go func() { results <- transfer(ctx, n, "race", slow) }()
@@ -150,7 +150,7 @@
 	ctx := context.Background()
 	first := cl.nodes[3]
 	lost := make(chan callResponse)
-	go func() { lost <- transfer(ctx, first, "owner", map[string]string{standin.HeaderDelay: "2s"}) }()
+	go func() { lost <- transfer(ctx, first, "owner", map[string]string{testbackend.HeaderDelay: "2s"}) }()
 	cl.eventually("start of the request", func() error {
 		if cl.runsOf("owner") == 0 {
 			return errors.New("not started")
@@ -160,7 +160,7 @@
 	first.process.kill()
 	c.Assert((<-lost).err, qt.IsNotNil)
 	cl.eventually("detection of the lost daemon", func() error {
-		again := transfer(ctx, cl.nodes[0], "owner", map[string]string{standin.HeaderDelay: "2s"})
+		again := transfer(ctx, cl.nodes[0], "owner", map[string]string{testbackend.HeaderDelay: "2s"})
 		if again.is(result.InProgress) {
 			return errors.New("still reported as in progress")
 		}
@@ -170,7 +170,7 @@
 	})
 	cl.start(first)
 	cl.eventually("return of the first daemon", func() error { return get(first, "/records/1", "", "archive\n") })
-	c.Assert(transfer(ctx, first, "owner", map[string]string{standin.HeaderDelay: "2s"}).must(result.OwnerLost), qt.IsNil)
+	c.Assert(transfer(ctx, first, "owner", map[string]string{testbackend.HeaderDelay: "2s"}).must(result.OwnerLost), qt.IsNil)
 	c.Assert(cl.runsOf("owner"), qt.Equals, 1)
 }
 
--- a/test/e2e/path_test.go
+++ b/test/e2e/path_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/daisygate/daisygate/internal/result"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // TestWholePath applies a manifest through three sources until all daemons serve it, and moves a
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set(standin.HeaderID, id)
+	req.Header.Set(testbackend.HeaderID, id)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
