--- a/internal/connection/announce/server.go
+++ b/internal/connection/announce/server.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// End removes a boot of a server that has ended. started is its start time, or 0 for any.
-func (s *Server) End(boot string, started int64) {
+// EndRun removes a boot of a server that has ended. started is its start time, or 0 for any.
+func (s *Server) EndRun(boot string, started int64) {
 	s.update(func() bool { return s.registry.End(boot, started) })
 }
 
@@ -114,8 +114,8 @@
 	router := mux.NewRouter()
 	router.HandleFunc(ServersPath, s.servePut).Methods(http.MethodPut)
 	router.HandleFunc(ServersPath, s.serveDelete).Methods(http.MethodDelete)
-	router.NotFoundHandler = result.Refuse(result.UnknownResource)
-	router.MethodNotAllowedHandler = result.Refuse(result.WrongMethod)
+	router.NotFoundHandler = result.RefuseHandler(result.UnknownResource)
+	router.MethodNotAllowedHandler = result.RefuseHandler(result.WrongMethod)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !sameInstance(r) {
 			result.WriteHTTP(w, result.Errorf(result.AnnounceRemote, "from %s", r.RemoteAddr))
--- a/internal/connection/gateway/caller.go
+++ b/internal/connection/gateway/caller.go
@@ -25,7 +25,7 @@
 	// target is the service to which the request is routed.
 	target  *snapshot.Service
 	request *Request
-	caller  CallerTold
+	caller  CallerMetadata
 	// fixedDeadline is set if the caller specified the deadline, so that body transfer
 	// does not extend it.
 	fixedDeadline bool
@@ -74,7 +74,7 @@
 	x.observation.result.Code = r.Code
 	outcome := x.outcome(r.Code)
 	x.logRefusal(r, outcome)
-	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, Back: r.retryAfter})
+	x.g.cfg.Dialect.Refuse(x.w, Refusal{Error: r.Error, Outcome: outcome, RetryAfter: r.retryAfter})
 }
 
 // matchRoute finds the route, the target service and the deadline of the request.
@@ -181,7 +181,7 @@
 	x.recordResponse(resp.StatusCode, complete)
 	if !complete {
 		if !x.r.ProtoAtLeast(1, 1) {
-			graceful.Reset(x.r.Context())
+			graceful.ResetConnection(x.r.Context())
 		}
 		x.settleClaim(Settlement{Code: result.AnswerLost})
 		x.claimed = false
@@ -202,7 +202,7 @@
 	target := x.target
 	x.inheritedRetry = x.inheritedRetryProbability()
 	call, action := x.g.beginCall(x.g.service(target.Key), x.dir, target, x.route.Name, flow.Request{
-		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.largeBodyLength(x.body), Answer: x.g.link.expectedLargeResponse(x.route.Name), Inherited: x.inheritedRetry,
+		Deadline: x.deadline, Repeatable: x.route.Repeatable, Retries: x.route.Retries, Target: x.route.Target, Pin: pin, Bytes: x.g.link.largeBodyLength(x.body), Answer: x.g.link.expectedLargeResponse(x.route.Name), RepeatProbability: x.inheritedRetry,
 	})
 	x.call = call
 	var last *refusal
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -10,7 +10,7 @@
 	"github.com/go-logr/logr"
 
 	"github.com/daisygate/daisygate/internal/process/claims"
-	"github.com/daisygate/daisygate/internal/request/once"
+	"github.com/daisygate/daisygate/internal/request/idempotency"
 	"github.com/daisygate/daisygate/internal/result"
 )
 
@@ -18,24 +18,24 @@
 type ClaimTable interface {
 	// Do executes one command. If it returns an error, committed reports whether the
 	// command may have been committed nevertheless.
-	Do(ctx context.Context, c claims.Command) (reply once.Reply, committed bool, err error)
+	Do(ctx context.Context, c claims.Command) (reply idempotency.Reply, committed bool, err error)
 	// Peek asks one reachable source for its record of a claim's key while there is no
-	// majority. once.NotHeld means that it has none.
-	Peek(ctx context.Context, c claims.Command) once.Reply
+	// majority. idempotency.NotHeld means that it has none.
+	Peek(ctx context.Context, c claims.Command) idempotency.Reply
 }
 
-// OnceConfig holds the settings of a Once; they do not change afterwards.
-type OnceConfig struct {
+// IdempotencyConfig holds the settings of an IdempotencyManager; they do not change afterwards.
+type IdempotencyConfig struct {
 	// Node and Incarnation identify this process.
 	Node        string
 	Incarnation uint64
 	Table       ClaimTable
-	// Lives reports whether the process that made a claim is still running, as far as
+	// IsAlive reports whether the process that made a claim is still running, as far as
 	// this daemon knows.
-	Lives func(once.Token) bool
+	IsAlive func(idempotency.Token) bool
 }
 
-// The limits of a Once.
+// The limits of an IdempotencyManager.
 const (
 	// claimTimeout bounds the wait for the sources before a request is refused as not
 	// run.
@@ -57,10 +57,10 @@
 	maxQueuedResponseBytes = 4 << 20
 )
 
-// Once makes requests with an idempotency key run at most once, using claims in a
+// IdempotencyManager makes requests with an idempotency key run at most once, using claims in a
 // replicated table. It implements Claims.
-type Once struct {
-	cfg OnceConfig
+type IdempotencyManager struct {
+	cfg IdempotencyConfig
 	log logr.Logger
 	seq atomic.Uint64
 	// granted maps *Request to a claims.Command with ID and Token, from Claim until
@@ -77,20 +77,21 @@
 	queuedBytes atomic.Int64
 }
 
-// NewOnce returns a Once. Run must be running for results to be recorded.
-func NewOnce(cfg OnceConfig, log logr.Logger) *Once {
-	return &Once{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
+// NewIdempotencyManager returns an IdempotencyManager. Run must be running for results to
+// be recorded.
+func NewIdempotencyManager(cfg IdempotencyConfig, log logr.Logger) *IdempotencyManager {
+	return &IdempotencyManager{cfg: cfg, log: log, queue: make(chan claims.Command, settleQueueSize)}
 }
 
 // Claim implements Claims.
-func (o *Once) Claim(ctx context.Context, r *Request) ClaimVerdict {
+func (o *IdempotencyManager) Claim(ctx context.Context, r *Request) ClaimVerdict {
 	key := r.HTTP.Header.Get(HeaderIdempotencyKey)
-	if len(key) > once.MaxKeyLength {
-		return ClaimVerdict{Refusal: result.Errorf(result.BadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, once.MaxKeyLength)}
+	if len(key) > idempotency.MaxKeyLength {
+		return ClaimVerdict{Refusal: result.Errorf(result.BadRequest, "%s is longer than %d bytes", HeaderIdempotencyKey, idempotency.MaxKeyLength)}
 	}
 	c := claims.Command{
-		Kind: claims.KindClaim, ID: once.NewID(r.Mesh, key), Fingerprint: fingerprintOf(r),
-		Token: once.Token{Node: o.cfg.Node, Incarnation: o.cfg.Incarnation, Seq: o.seq.Add(1)},
+		Kind: claims.KindClaim, ID: idempotency.NewID(r.Mesh, key), Fingerprint: fingerprintOf(r),
+		Token: idempotency.Token{Node: o.cfg.Node, Incarnation: o.cfg.Incarnation, Seq: o.seq.Add(1)},
 	}
 	// The claim continues when its caller disconnects: its result must be known.
 	ctx = context.WithoutCancel(ctx)
@@ -98,7 +99,7 @@
 	if !ok {
 		return verdictOf(o.peek(ctx, c))
 	}
-	step := once.Open(reply, o.cfg.Lives)
+	step := idempotency.ClaimStep(reply, o.cfg.IsAlive)
 	if step.Refusal == nil && step.Replay == nil {
 		o.granted.Store(r, claims.Command{ID: c.ID, Token: c.Token})
 	}
@@ -106,7 +107,7 @@
 }
 
 // sendClaim sends the claim. ok is false if no majority of sources answered.
-func (o *Once) sendClaim(ctx context.Context, c claims.Command) (reply once.Reply, ok bool) {
+func (o *IdempotencyManager) sendClaim(ctx context.Context, c claims.Command) (reply idempotency.Reply, ok bool) {
 	if !o.allowClaim() {
 		return reply, false
 	}
@@ -123,7 +124,7 @@
 
 // allowClaim reports whether a claim may be sent. During an outage it lets one claim at a
 // time probe whether the outage is over.
-func (o *Once) allowClaim() bool {
+func (o *IdempotencyManager) allowClaim() bool {
 	now, until := time.Now().UnixNano(), o.outageUntil.Load()
 	if until == 0 {
 		return true
@@ -135,19 +136,19 @@
 // otherwise the request is not run, and nothing is known about earlier submissions. The
 // source may lag: the claim of another request may have been released since, and this
 // request may have run, so a mismatch proves nothing.
-func (o *Once) peek(ctx context.Context, c claims.Command) once.Step {
+func (o *IdempotencyManager) peek(ctx context.Context, c claims.Command) idempotency.Step {
 	ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 	defer cancel()
 	reply := o.cfg.Table.Peek(ctx, c)
-	if reply.Verdict == once.NotHeld || reply.Verdict == once.Mismatch || reply.Owner == c.Token {
-		return once.Unavailable()
+	if reply.Verdict == idempotency.NotHeld || reply.Verdict == idempotency.Mismatch || reply.Owner == c.Token {
+		return idempotency.Unavailable()
 	}
-	return once.Open(reply, o.cfg.Lives)
+	return idempotency.ClaimStep(reply, o.cfg.IsAlive)
 }
 
 // beginOutage suspends claims for a while and releases a claim that may have been
 // committed.
-func (o *Once) beginOutage(c claims.Command, committed bool, err error) {
+func (o *IdempotencyManager) beginOutage(c claims.Command, committed bool, err error) {
 	o.log.V(1).Info("claim not recorded", "error", err.Error())
 	o.outageUntil.Store(time.Now().Add(outageBackoff).UnixNano())
 	if committed {
@@ -156,14 +157,14 @@
 }
 
 func fingerprintOf(r *Request) uint64 {
-	identity := once.Request{
+	identity := idempotency.Request{
 		Method: r.HTTP.Method, Path: r.HTTP.URL.Path, Query: r.HTTP.URL.RawQuery,
 		ContentType: r.HTTP.Header.Get("Content-Type"), ContentLength: r.HTTP.ContentLength, Body: r.Body,
 	}
 	return identity.Fingerprint()
 }
 
-func verdictOf(s once.Step) ClaimVerdict {
+func verdictOf(s idempotency.Step) ClaimVerdict {
 	v := ClaimVerdict{Refusal: s.Refusal, RetryAfter: s.RetryAfter}
 	if s.Replay == nil {
 		return v
@@ -177,14 +178,14 @@
 
 // Settle implements Claims. The result is recorded in the background; until then a resent
 // request is told that the first run is in progress.
-func (o *Once) Settle(r *Request, s Settlement) {
+func (o *IdempotencyManager) Settle(r *Request, s Settlement) {
 	grantedCommand, granted := o.granted.LoadAndDelete(r)
 	if !granted {
 		return
 	}
 	c := grantedCommand.(claims.Command)
 	c.Kind = claims.KindRelease
-	if c.Answer = once.Close(s.Code, storedForm(s.Response)); c.Answer != nil {
+	if c.Answer = idempotency.AnswerToRecord(s.Code, storedForm(s.Response)); c.Answer != nil {
 		c.Kind = claims.KindAnswer
 	}
 	o.enqueue(c)
@@ -192,23 +193,23 @@
 
 // storedForm returns the response in the form in which it is stored, or nil if there is
 // none.
-func storedForm(response *StoredResponse) *once.Answer {
+func storedForm(response *StoredResponse) *idempotency.Answer {
 	if response == nil {
 		return nil
 	}
-	stored := &once.Answer{Status: response.Status, Body: response.Body}
+	stored := &idempotency.Answer{Status: response.Status, Body: response.Body}
 	for name, values := range response.Header {
 		for _, v := range values {
-			stored.Header = append(stored.Header, once.HeaderField{Name: name, Value: v})
+			stored.Header = append(stored.Header, idempotency.HeaderField{Name: name, Value: v})
 		}
 	}
 	return stored
 }
 
-func (o *Once) enqueue(c claims.Command) {
+func (o *IdempotencyManager) enqueue(c claims.Command) {
 	if size := sizeOf(&c); size > 0 && o.queuedBytes.Add(size) > maxQueuedResponseBytes {
 		o.queuedBytes.Add(-size)
-		c.Answer = &once.Answer{Code: c.Answer.Code, Dropped: true}
+		c.Answer = &idempotency.Answer{Code: c.Answer.Code, Dropped: true}
 	}
 	o.pending.Add(1)
 	o.queueLength.Add(1)
@@ -227,17 +228,17 @@
 	return int64(c.Answer.Size())
 }
 
-func (o *Once) dequeued(c *claims.Command) {
+func (o *IdempotencyManager) dequeued(c *claims.Command) {
 	o.queuedBytes.Add(-sizeOf(c))
 	o.queueLength.Add(-1)
 	o.pending.Done()
 }
 
-// Waiting returns the number of results that are not recorded yet.
-func (o *Once) Waiting() int { return int(o.queueLength.Load()) }
+// PendingResults returns the number of results that are not recorded yet.
+func (o *IdempotencyManager) PendingResults() int { return int(o.queueLength.Load()) }
 
 // Run records results until ctx is done.
-func (o *Once) Run(ctx context.Context) {
+func (o *IdempotencyManager) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range settleWorkers {
 		workers.Go(func() { o.runWorker(ctx) })
@@ -245,7 +246,7 @@
 	workers.Wait()
 }
 
-func (o *Once) runWorker(ctx context.Context) {
+func (o *IdempotencyManager) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -258,13 +259,13 @@
 }
 
 // record retries until the sources have answered.
-func (o *Once) record(ctx context.Context, c claims.Command) {
+func (o *IdempotencyManager) record(ctx context.Context, c claims.Command) {
 	for ctx.Err() == nil {
 		try, cancel := context.WithTimeout(ctx, settleTimeout)
 		reply, _, err := o.cfg.Table.Do(try, c)
 		cancel()
 		if err == nil {
-			if reply.Verdict != once.Done {
+			if reply.Verdict != idempotency.Done {
 				o.log.V(1).Info("result of a claimed request not accepted by the claim table", "verdict", reply.Verdict)
 			}
 			return
@@ -277,7 +278,7 @@
 }
 
 // Flush waits until all results are recorded or ctx is done.
-func (o *Once) Flush(ctx context.Context) {
+func (o *IdempotencyManager) Flush(ctx context.Context) {
 	recorded := make(chan struct{})
 	go func() { o.pending.Wait(); close(recorded) }()
 	select {
--- a/internal/connection/gateway/rollout.go
+++ b/internal/connection/gateway/rollout.go
@@ -22,19 +22,20 @@
 type RolloutConfig struct {
 	// Budget limits the exposure of a version before it has been judged good.
 	Budget canary.Budget
-	// Touch reports whether the leader has been heard from recently; nil means always.
-	Touch func() bool
-	// Failed is called immediately when a version under rollout has failed a request. It
+	// LeaderReachable reports whether the leader has been heard from recently; nil means
+	// always.
+	LeaderReachable func() bool
+	// OnFailure is called immediately when a version under rollout has failed a request. It
 	// must not block; nil disables it.
-	Failed func()
+	OnFailure func()
 }
 
 func (c RolloutConfig) withDefaults() RolloutConfig {
-	if c.Touch == nil {
-		c.Touch = func() bool { return true }
+	if c.LeaderReachable == nil {
+		c.LeaderReachable = func() bool { return true }
 	}
-	if c.Failed == nil {
-		c.Failed = func() {}
+	if c.OnFailure == nil {
+		c.OnFailure = func() {}
 	}
 	return c
 }
@@ -43,7 +44,7 @@
 // daemon on the server's instance refuses requests from a daemon that does not know the
 // latest stage yet.
 func (g *Gateway) acceptsVersion(s *presence.Server) bool {
-	return g.cfg.Directory().Snapshot.Takes(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}, s.Version)
+	return g.cfg.Directory().Snapshot.AcceptsNewRequests(snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}, s.Version)
 }
 
 // runningRollout returns the undecided rollout of a service, or nil.
@@ -65,8 +66,8 @@
 	switch {
 	case r == nil:
 		s.account = nil
-	case s.account != nil && s.account.Of(r):
-		s.account.Enter(r)
+	case s.account != nil && s.account.IsFor(r):
+		s.account.SetRollout(r)
 	default:
 		s.account = canary.NewAccount(r, g.cfg.Rollout.Budget, g.slackCredit(dir, r))
 	}
@@ -97,8 +98,8 @@
 // hold s.mu.
 func (s *service) chooseVersion(r *flow.Request, now time.Time, route string, inContact bool) {
 	if s.account != nil {
-		r.Arm, r.Then = s.account.Choose(now, route, inContact)
-		r.Otherwise = s.account.Other(r.Then)
+		r.Arm, r.RetryArm = s.account.Choose(now, route, inContact)
+		r.FallbackArm = s.account.Other(r.RetryArm)
 	}
 }
 
@@ -118,13 +119,13 @@
 	s.mu.Lock()
 	var bad uint64
 	if s.account != nil {
-		before := s.account.Bad()
+		before := s.account.TargetFailures()
 		s.account.Answered(canary.Answer{Route: x.route.Name, Version: to.Server.Version, Server: to.Server.Addr, Failed: failed, Took: took})
-		bad = s.account.Bad() - before
+		bad = s.account.TargetFailures() - before
 	}
 	s.mu.Unlock()
 	if bad > 0 {
-		x.g.cfg.Rollout.Failed()
+		x.g.cfg.Rollout.OnFailure()
 	}
 }
 
@@ -175,9 +176,9 @@
 		s := g.service(key)
 		s.mu.Lock()
 		g.updateRollout(s, dir, r)
-		known := s.account != nil && s.account.Of(r)
+		known := s.account != nil && s.account.IsFor(r)
 		if known {
-			t.Tally, t.Tripped = s.account.Tally(), s.account.Tripped()
+			t.Tally, t.Tripped = s.account.Tally(), s.account.StopReason()
 		}
 		s.mu.Unlock()
 		if known {
--- a/internal/connection/gateway/serve.go
+++ b/internal/connection/gateway/serve.go
@@ -118,14 +118,14 @@
 // sendToBackend sends a request that holds its slot to the backend server.
 func (g *Gateway) sendToBackend(ctx context.Context, b *backend, req *backendRequest) (*http.Response, *refusal) {
 	out := req.body.outgoing(req.request.HTTP)
-	out.Added = g.cfg.Dialect.Server(ServerTold{
+	out.ExtraHeader = g.cfg.Dialect.Server(ServerMetadata{
 		Left: time.Until(req.deadline), Depth: req.depth + 1, Boot: req.boot, Origin: req.origin,
 	})
-	out.IdleAge = backendIdleTimeout
+	out.MaxIdleAge = backendIdleTimeout
 	if req.nonRepeatable {
-		out.IdleAge = nonRepeatableIdleAge
+		out.MaxIdleAge = nonRepeatableIdleAge
 	}
-	span := g.cfg.Tracer.Send(ctx, HopBackend, out.Added)
+	span := g.cfg.Tracer.Send(ctx, HopBackend, out.ExtraHeader)
 	span.Set(SpanServer, req.addr)
 	b.countRequest(req.retryProbability)
 	run := g.beginRun(req.addr, req.request)
@@ -141,7 +141,7 @@
 	if failure != nil {
 		refused := classifyFailure(ctx, failure, result.BackendRefused)
 		if errors.Is(failure, syscall.ECONNREFUSED) {
-			g.cfg.Refused(req.addr)
+			g.cfg.OnConnectionRefused(req.addr)
 		}
 		if run.End(runStatusOf(refused.Code)) {
 			refused = newRefusal(result.BackendCrashed, failure.Error())
@@ -170,7 +170,7 @@
 		return newRefusal(result.AnswerLost, "the response belongs to another request")
 	case metadata.Misdirected:
 		_ = resp.Body.Close()
-		g.cfg.Misdirected(req.addr, req.boot)
+		g.cfg.OnMisdirected(req.addr, req.boot)
 		return newRefusal(result.WrongServer, "the server at "+req.addr+" is not boot "+req.boot)
 	case metadata.NotRun:
 		_ = resp.Body.Close()
@@ -192,7 +192,7 @@
 func (b *requestBody) outgoing(r *http.Request) *upstream.Request {
 	out := &upstream.Request{
 		Method: r.Method, Target: requestTarget(r), Host: r.Host,
-		Header: r.Header, Skip: skipHeader(r.Header), Small: b.buffered, Stall: maxStall,
+		Header: r.Header, SkipHeader: skipHeader(r.Header), SmallBody: b.buffered, StallTimeout: maxStall,
 	}
 	if b.streamed {
 		out.Body, out.Length, out.Trailer, out.AbortBody = b, b.contentLength(), r.Trailer, b.abortRead
@@ -209,7 +209,7 @@
 		return newRefusal(result.DeadlineTooShort, f.Error())
 	case expired:
 		return newRefusal(result.DeadlineExceeded, f.Error())
-	case ctx.Err() != nil || errors.Is(f, upstream.ErrBody):
+	case ctx.Err() != nil || errors.Is(f, upstream.ErrRequestBody):
 		return newRefusal(result.CallerLeft, f.Error())
 	case !f.Sent:
 		return newRefusal(unreachable, f.Error())
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -25,13 +25,13 @@
 	"github.com/daisygate/daisygate/internal/connection/limit"
 	"github.com/daisygate/daisygate/internal/connection/operator"
 	"github.com/daisygate/daisygate/internal/connection/peer"
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/mesh"
 	"github.com/daisygate/daisygate/internal/process/presence"
 	"github.com/daisygate/daisygate/internal/process/quorum"
 	"github.com/daisygate/daisygate/internal/process/replica"
 	"github.com/daisygate/daisygate/internal/process/settings"
 	"github.com/daisygate/daisygate/internal/process/source"
-	"github.com/daisygate/daisygate/internal/process/spread"
 	"github.com/daisygate/daisygate/internal/process/storage"
 	"github.com/daisygate/daisygate/internal/process/telemetry"
 	"github.com/daisygate/daisygate/internal/process/view"
@@ -106,7 +106,7 @@
 	// platform is nil if the daemon serves its native interface.
 	platform Platform
 	// configuredServer is the local backend server named in the settings of the platform.
-	configuredServer atomic.Pointer[Beside]
+	configuredServer atomic.Pointer[LocalServer]
 	// announcedService is the service of the announced local backend servers; nil if there are
 	// none or they belong to different services.
 	announcedService atomic.Pointer[string]
@@ -121,16 +121,18 @@
 }
 
 // New opens the listeners and the data directory. Call Run to serve.
-func New(set settings.Settings, log logr.Logger) (*Daemon, error) { return NewOn(set, log, nil) }
+func New(set settings.Settings, log logr.Logger) (*Daemon, error) {
+	return NewWithListeners(set, log, nil)
+}
 
-// NewAt is New with a platform adapter; platform may be nil.
-func NewAt(set settings.Settings, log logr.Logger, platform Platform) (*Daemon, error) {
+// NewOnPlatform is New with a platform adapter; platform may be nil.
+func NewOnPlatform(set settings.Settings, log logr.Logger, platform Platform) (*Daemon, error) {
 	return open(set, log, nil, platform)
 }
 
-// NewOn is New with listeners that are already open, by name. Missing ones are opened as the
-// settings say. The daemon takes ownership of the listeners.
-func NewOn(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
+// NewWithListeners is New with listeners that are already open, by name. Missing ones are
+// opened as the settings say. The daemon takes ownership of the listeners.
+func NewWithListeners(set settings.Settings, log logr.Logger, listeners map[string]net.Listener) (*Daemon, error) {
 	return open(set, log, listeners, nil)
 }
 
@@ -193,14 +195,14 @@
 			Self: d.self, Seeds: d.otherSeeds(d.settings.Seeds), Active: activeLinks, Max: maxLinks,
 			Silence: linkSilence, Interval: linkInterval, Backoff: d.settings.JoinBackoff, Seed: seed,
 		},
-		Spread: spread.Config{Self: d.settings.Node, Seed: seed},
+		Spread: dissemination.Config{Self: d.settings.Node, Seed: seed},
 		Presence: presence.Config{
 			Self: d.self, Incarnation: incarnation, DigestInterval: presenceInterval, SuspectFor: suspectFor,
 			ForgetAfter: forgetAfter, ProbeInterval: probeInterval, Seed: seed,
 		},
 		Probe:        peer.Reachable,
 		OnInstall:    d.traces.Install,
-		TickInterval: tickInterval, Lead: d.leadershipState,
+		TickInterval: tickInterval, Leadership: d.leadershipState,
 	}, d.items, d.log.WithName("mesh"))
 	if err != nil {
 		return err
@@ -212,12 +214,12 @@
 	cfg := gateway.Config{
 		Self: d.settings.Node, Domain: d.settings.Domain, Region: d.settings.Region, QueuePerSlot: d.settings.Limits.QueuePerSlot,
 		Directory: d.mesh.Directory, Ready: d.Ready, Observer: d.metrics, Tracer: d.tracer(),
-		Abrupt: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, HoldBytes: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
-		Refused:     func(addr string) { d.servers.Refused(addr) },
-		Misdirected: d.handleBootMismatch,
-		Rollout:     d.rolloutConfig(),
-		LinkBytes:   float64(d.settings.Limits.LinkBytes),
-		RequestLog:  d.log.WithName(telemetry.RequestsLogger), RequestLines: d.settings.Log.RequestsPerSecond,
+		CloseAbandoned: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, MaxBufferedResponse: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
+		OnConnectionRefused: func(addr string) { d.servers.Refused(addr) },
+		OnMisdirected:       d.handleBootMismatch,
+		Rollout:             d.rolloutConfig(),
+		LinkBytes:           float64(d.settings.Limits.LinkBytes),
+		RequestLog:          d.log.WithName(telemetry.RequestsLogger), RequestLines: d.settings.Log.RequestsPerSecond,
 	}
 	if d.platform != nil {
 		cfg.Dialect = d.platform
@@ -226,7 +228,7 @@
 		cfg.Claims = d.claims.once
 	}
 	if d.settings.Servers.Quarantine {
-		cfg.Suspects = d.claims.suspects
+		cfg.CrashScreener = d.claims.suspects
 	}
 	d.gateway = gateway.New(cfg, d.log.WithName("gateway"))
 	d.servers = announce.NewServer(d.settings.Servers.Dial, d.setServers)
@@ -240,8 +242,8 @@
 	d.rollouts = newRolloutDriver(d)
 	d.source, err = source.Open(quorum.Config{
 		ID: d.settings.Node, Members: d.configuredSources(), DataDir: filepath.Join(d.settings.DataDir, "source"),
-		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, FirstTicks: sourceFirstTicks, Seed: seed, Idempotent: true,
-		Joins: !d.mayBootstrap(), ReplaceTicks: d.replaceTicks(), Voters: d.settings.Source.Voters,
+		TickInterval: sourceTick, ElectionTicks: sourceElectionTicks, HeartbeatTicks: sourceHeartbeatTicks, FirstElectionTicks: sourceFirstTicks, Seed: seed, Idempotent: true,
+		JoinExisting: !d.mayBootstrap(), ReplaceTicks: d.replaceTicks(), TargetVoters: d.settings.Source.Voters,
 	}, sourceTransport{d}, d.log.WithName(telemetry.SourceLogger), d.mesh.Publish)
 	d.leadership = d.newLeadership()
 	return err
--- a/internal/process/daemon/lead.go
+++ b/internal/process/daemon/leadership.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/replica"
-	"github.com/daisygate/daisygate/internal/process/spread"
 )
 
 const (
@@ -45,14 +45,14 @@
 	last    atomic.Pointer[quorumRound]
 }
 
-// state returns what package spread needs to know of this source's leadership, nil if it is
+// state returns what package dissemination needs to know of this source's leadership, nil if it is
 // not the leader. If asked is set, state also starts a round unless one is running.
-func (l *leadership) state(now time.Time, asked bool) *spread.Lead {
+func (l *leadership) state(now time.Time, asked bool) *dissemination.Leadership {
 	term, leads := l.leads()
 	if !leads {
 		return nil
 	}
-	lead := &spread.Lead{Term: term, Version: l.version()}
+	lead := &dissemination.Leadership{Term: term, Version: l.version()}
 	if last := l.last.Load(); last != nil && last.term == term {
 		lead.Quorum = last.started
 	}
@@ -99,10 +99,10 @@
 
 func (d *Daemon) newLeadership() *leadership {
 	l := &leadership{
-		leads:   func() (uint64, bool) { return d.source.Leads() },
+		leads:   func() (uint64, bool) { return d.source.Leadership() },
 		others:  d.otherSources,
 		version: func() uint64 { return d.source.Status().Version },
-		settled: func() bool { return d.source.Settled() },
+		settled: func() bool { return d.source.LeaderCaughtUp() },
 		term: func(ctx context.Context, addr string) (uint64, error) {
 			var term uint64
 			return term, d.pool.Call(ctx, addr, sourceTerm, Empty{}, &term)
@@ -111,8 +111,8 @@
 	return l
 }
 
-// leadershipState implements mesh.Config.Lead.
-func (d *Daemon) leadershipState(now time.Time, asked bool) *spread.Lead {
+// leadershipState implements mesh.Config.Leadership.
+func (d *Daemon) leadershipState(now time.Time, asked bool) *dissemination.Leadership {
 	if d.leadership == nil {
 		return nil
 	}
--- a/internal/process/daemon/listeners.go
+++ b/internal/process/daemon/listeners.go
@@ -23,7 +23,7 @@
 	minCallerConnections = 64
 )
 
-// listen opens the listeners that were not passed to NewOn.
+// listen opens the listeners that were not passed to NewWithListeners.
 func (d *Daemon) listen() error {
 	addrs := map[string]string{
 		"caller": d.settings.Listen.Caller, "announce": d.settings.Listen.Announce,
@@ -80,7 +80,7 @@
 		if d.listeners[name] == nil {
 			continue
 		}
-		d.limits[name] = limit.New(d.listeners[name], limit.Config{Connections: maxConns, StallTimeout: limits.StallTimeout})
+		d.limits[name] = limit.New(d.listeners[name], limit.Config{MaxConnections: maxConns, StallTimeout: limits.StallTimeout})
 	}
 }
 
@@ -119,7 +119,7 @@
 		handlers["control"] = d.platform.Control(platformControl{d, d.servers})
 		handlers["health"] = d.platform.Health(d.NotReady)
 	} else {
-		handlers["health"] = telemetry.WithHealth(result.Refuse(result.UnknownResource), d.NotReady)
+		handlers["health"] = telemetry.WithHealth(result.RefuseHandler(result.UnknownResource), d.NotReady)
 	}
 	handlers["metrics"] = telemetry.WithHealth(d.metrics, d.NotReady)
 	servers := map[string]*httpServer{}
--- a/internal/process/daemon/rollout.go
+++ b/internal/process/daemon/rollout.go
@@ -33,7 +33,7 @@
 	// most 1/reportIntervalPerDaemon reports a second.
 	minReportInterval       = 250 * time.Millisecond
 	reportIntervalPerDaemon = 5 * time.Millisecond
-	// maxReportInterval is well below rollout.SilentAfter.
+	// maxReportInterval is well below rollout.UnreachableAfter.
 	maxReportInterval = time.Second
 	// reportTimeout is the timeout of one report, stepTimeout that of the commit of one step.
 	reportTimeout = time.Second
@@ -56,9 +56,9 @@
 // rolloutConfig returns the rollout configuration of the gateway.
 func (d *Daemon) rolloutConfig() gateway.RolloutConfig {
 	return gateway.RolloutConfig{
-		Budget: d.exposureBudget(),
-		Touch:  func() bool { return !d.mesh.Status().Stale },
-		Failed: func() {
+		Budget:          d.exposureBudget(),
+		LeaderReachable: func() bool { return !d.mesh.Status().Stale },
+		OnFailure: func() {
 			select {
 			case d.rolloutFailed <- struct{}{}:
 			default:
@@ -71,7 +71,7 @@
 func (d *Daemon) OrderRollout(ctx context.Context, o *source.RolloutOrder) (source.Answer, error) {
 	start := time.Now()
 	s := d.askSources(ctx, sourceOrderRollout, *o, func(ctx context.Context) (source.Answer, error) { return d.source.OrderRollout(ctx, o) })
-	d.metrics.Ordered(s.answer.Code)
+	d.metrics.CountOrder(s.answer.Code)
 	d.operatorLog().Info(logRolloutOrder, "mesh", o.Mesh, "service", o.Service, "target", o.Target, "within", o.Within.String(), "abort", o.Abort,
 		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
@@ -86,7 +86,7 @@
 	if r := s.answer.Rollout; r != nil {
 		stage = r.Stage.String()
 	}
-	d.metrics.Read(s.answer.Code)
+	d.metrics.CountRead(s.answer.Code)
 	d.operatorLog().Info(logRolloutRead, "mesh", name.Mesh, "service", name.Service, "stage", stage,
 		"result", s.answer.Code.String(), "detail", s.answer.Detail, "by", s.by, "took", time.Since(start).String())
 	return s.answer, nil
@@ -158,7 +158,7 @@
 		case <-ticker.C:
 		}
 		snap := d.mesh.Directory().Snapshot
-		if !snap.RolloutRuns() {
+		if !snap.RolloutInProgress() {
 			reporter.leader = ""
 			continue
 		}
--- a/internal/process/dev/dev.go
+++ b/internal/process/dev/dev.go
@@ -21,7 +21,7 @@
 	"github.com/daisygate/daisygate/internal/connection/announce"
 	"github.com/daisygate/daisygate/internal/process/daemon"
 	"github.com/daisygate/daisygate/internal/process/settings"
-	"github.com/daisygate/daisygate/internal/standin"
+	"github.com/daisygate/daisygate/internal/testbackend"
 )
 
 // DefaultNodes is the default number of daemons: the smallest number that tolerates the loss
@@ -81,7 +81,7 @@
 // Mesh is a running mesh.
 type Mesh struct {
 	Nodes   []Node
-	Servers []*standin.Server
+	Servers []*testbackend.Server
 
 	// tempDir is the directory that Stop removes, or "".
 	tempDir string
@@ -185,7 +185,7 @@
 			closeAll(listeners[i:])
 			return err
 		}
-		d, err := daemon.NewOn(set, cfg.Log, listeners[i])
+		d, err := daemon.NewWithListeners(set, cfg.Log, listeners[i])
 		if err != nil {
 			closeAll(listeners[i+1:])
 			return err
@@ -220,14 +220,14 @@
 		if s.Version != "" {
 			version = " version " + s.Version
 		}
-		server, err := standin.New(standin.Config{
+		server, err := testbackend.New(testbackend.Config{
 			Listen: "127.0.0.1:0", AnnounceAddr: m.Nodes[s.Node].Announce,
 			Announcement: announce.Announcement{
 				Mesh: s.Mesh, Service: s.Service, Version: s.Version, Slots: serverSlots, Connections: serverConnections,
 			},
-			Crash:  abortRequest,
-			Fails:  failEverySecond(s.Fails),
-			Answer: fmt.Sprintf("answered by service %s%s next to daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
+			Crash:      abortRequest,
+			ShouldFail: failEverySecond(s.Fails),
+			Answer:     fmt.Sprintf("answered by service %s%s next to daemon %s\n", s.Service, version, m.Nodes[s.Node].Name),
 		})
 		if err != nil {
 			return err
--- a/internal/process/mesh/mesh.go
+++ b/internal/process/mesh/mesh.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-logr/logr"
 
+	"github.com/daisygate/daisygate/internal/process/dissemination"
 	"github.com/daisygate/daisygate/internal/process/presence"
-	"github.com/daisygate/daisygate/internal/process/spread"
 	"github.com/daisygate/daisygate/internal/process/view"
 	"github.com/daisygate/daisygate/internal/version/directory"
 	"github.com/daisygate/daisygate/internal/version/fleet"
@@ -21,7 +21,7 @@
 // Item is one message. Exactly one field is set.
 type Item struct {
 	View     *view.Message
-	Spread   *spread.Message
+	Spread   *dissemination.Message
 	Presence *presence.Message
 }
 
@@ -43,7 +43,7 @@
 // Config configures a Mesh. It must not change after New.
 type Config struct {
 	View     view.Config
-	Spread   spread.Config
+	Spread   dissemination.Config
 	Presence presence.Config
 	// TickInterval is the time between ticks of view, spread and presence.
 	TickInterval time.Duration
@@ -51,9 +51,9 @@
 	OnInstall func(version uint64)
 	// Probe is called in a separate goroutine.
 	Probe Prober
-	// Lead returns the state of this node's leadership of the sources, nil while it is not the
-	// leader. If asked is set, a newer Quorum is needed.
-	Lead func(now time.Time, asked bool) *spread.Lead
+	// Leadership returns the state of this node's leadership of the sources, nil while it is
+	// not the leader. If asked is set, a newer Quorum is needed.
+	Leadership func(now time.Time, asked bool) *dissemination.Leadership
 }
 
 // Status is the status of a daemon's control plane.
@@ -73,7 +73,7 @@
 	sender Sender
 
 	members  *members
-	spread   *spread.Core
+	spread   *dissemination.Core
 	current  *snapshot.Snapshot
 	versions versions
 	changed  bool
@@ -94,7 +94,7 @@
 	}
 	m := &Mesh{
 		cfg: cfg, log: log, sender: sender,
-		members: newMembers(cfg, empty), spread: spread.New(cfg.Spread, fleet.Empty()),
+		members: newMembers(cfg, empty), spread: dissemination.New(cfg.Spread, fleet.Empty()),
 		current: empty, ops: make(chan func(time.Time), 256),
 	}
 	m.publish(time.Now())
@@ -145,11 +145,11 @@
 	}
 }
 
-// SetCommitted records the version that a source reported as committed. The source must have
-// been asked after the start of this process.
-func (m *Mesh) SetCommitted(version uint64) {
+// SetCommittedVersion records the version that a source reported as committed. The source must
+// have been asked after the start of this process.
+func (m *Mesh) SetCommittedVersion(version uint64) {
 	m.ops <- func(now time.Time) {
-		m.runSpreadActions(m.spread.Committed(version))
+		m.runSpreadActions(m.spread.SetCommittedVersion(version))
 		m.publishStatus(now)
 	}
 }
@@ -161,8 +161,8 @@
 
 func (m *Mesh) tick(now time.Time) {
 	m.runMemberActions(now, m.members.core.Tick(now))
-	m.spread.SetFleet(m.members.core.Presence().Len())
-	m.runSpreadActions(m.spread.Tick(now, m.cfg.Lead(now, m.spread.Asked())))
+	m.spread.SetFleetSize(m.members.core.Presence().Len())
+	m.runSpreadActions(m.spread.Tick(now, m.cfg.Leadership(now, m.spread.HasOpenQuery())))
 	m.publishStatus(now)
 }
 
@@ -172,7 +172,7 @@
 			m.runMemberActions(now, m.members.core.ReceiveView(now, e.From, *item.View))
 		}
 		if item.Spread != nil {
-			m.members.core.Heard(now, e.From)
+			m.members.core.RecordReceived(now, e.From)
 			m.runSpreadActions(m.spread.Receive(now, e.From, *item.Spread))
 		}
 		if item.Presence != nil {
--- a/internal/process/replica/election.go
+++ b/internal/process/replica/election.go
@@ -18,13 +18,13 @@
 	if c.awaitingFirstLeader {
 		// Members that start together would campaign together if they drew from a
 		// range of only a few ticks.
-		ticks, jitter = c.cfg.FirstTicks, firstTimeoutSpread*c.cfg.FirstTicks
+		ticks, jitter = c.cfg.FirstElectionTicks, firstTimeoutSpread*c.cfg.FirstElectionTicks
 	}
 	c.electionTimeout = ticks + c.rand.IntN(jitter)
 }
 
 // firstTimeoutSpread is the width of the range of the first election timeout, as a
-// multiple of FirstTicks.
+// multiple of FirstElectionTicks.
 const firstTimeoutSpread = 3
 
 // campaign requests pre-votes, which change no state on any member, or votes.
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -97,7 +97,7 @@
 	switch {
 	case answers < minAnswers:
 		r.waitingFor = fmt.Sprintf("%d answers of the version came, and %d tell something", answers, minAnswers)
-	case r.judge.Doubt() > maxDoubt:
+	case r.judge.EvidenceRatio() > maxDoubt:
 		r.waitingFor = r.doubtDetail()
 	case float64(target.WarmSlots) < r.slotsInUse:
 		r.waitingFor = fmt.Sprintf("its servers have %d slots, the work takes %.0f", target.WarmSlots, r.slotsInUse)
@@ -118,7 +118,7 @@
 // canaryServers returns the number of servers of the target version to use. At first they are
 // as many as have the same utilization as the servers of the base version, later half as
 // many, to test them under higher load.
-func (r *activeRollout) canaryServers(elapsed, proofStart time.Duration, base, target Side) int {
+func (r *activeRollout) canaryServers(elapsed, proofStart time.Duration, base, target VersionCapacity) int {
 	warm := target.warmServers()
 	if warm == 0 {
 		return 0
@@ -139,7 +139,7 @@
 	case !r.stageConfirmed(now, f):
 		r.waitingFor = "not every daemon has confirmed it"
 		return source.RolloutStep{}, false
-	case r.judge.Doubt() > maxDoubt:
+	case r.judge.EvidenceRatio() > maxDoubt:
 		r.waitingFor = r.doubtDetail()
 		return source.RolloutStep{}, false
 	case now.Sub(r.stageEnteredAt) < minProofTime:
@@ -158,7 +158,7 @@
 	return true
 }
 
-// isSilent reports whether a daemon has sent no report for SilentAfter, so that it is
+// isSilent reports whether a daemon has sent no report for UnreachableAfter, so that it is
 // considered unreachable.
 func (r *activeRollout) isSilent(now time.Time, report *daemonReport) bool {
 	lastHeard := r.listeningSince
@@ -168,7 +168,7 @@
 	if lastHeard.Before(r.stageEnteredAt) && report == nil {
 		lastHeard = r.stageEnteredAt
 	}
-	return now.Sub(lastHeard) >= SilentAfter
+	return now.Sub(lastHeard) >= UnreachableAfter
 }
 
 // handoverComplete reports whether no requests are sent to the previous version any more and
--- a/internal/standin/standin.go
+++ b/internal/testbackend/testbackend.go
@@ -1,11 +1,11 @@
-// Package standin implements a small backend server for tests and benchmarks.
+// Package testbackend implements a small backend server for tests and benchmarks.
 // It announces itself to the daemon on its instance, runs requests, and records
 // every run, so that lost and duplicated requests can be counted.
 //
 // Request headers control it: X-Standin-Id is the ID of the request in the
 // record, X-Standin-Delay (a Go duration) is how long the request runs, and
 // X-Standin-Crash ends the process while the request is running.
-package standin
+package testbackend
 
 import (
 	"bytes"
@@ -61,9 +61,9 @@
 	Answer string
 	// Crash is called for a request with HeaderCrash; nil exits the process.
 	Crash func()
-	// Fails reports whether a request gets a response with status 500; nil
+	// ShouldFail reports whether a request gets a response with status 500; nil
 	// fails none.
-	Fails func(r *http.Request) bool
+	ShouldFail func(r *http.Request) bool
 }
 
 // Server is a stand-in backend server.
@@ -182,7 +182,7 @@
 		}
 	}
 	w.Header().Set(HeaderServer, s.Addr())
-	if s.cfg.Fails != nil && s.cfg.Fails(r) {
+	if s.cfg.ShouldFail != nil && s.cfg.ShouldFail(r) {
 		http.Error(w, "this version fails", http.StatusInternalServerError)
 		return
 	}
