--- a/internal/connection/announce/registry.go
+++ b/internal/connection/announce/registry.go
@@ -71,8 +71,8 @@
 	return "refused"
 }
 
-// PassedOver reports whether the announcement was ignored.
-func (v Verdict) PassedOver() bool { return v == Outdated || v == Superseded || v == Disproved }
+// Ignored reports whether the announcement was ignored.
+func (v Verdict) Ignored() bool { return v == Outdated || v == Superseded || v == Disproved }
 
 // Put registers or renews the server that sent the announcement.
 func (r *Registry) Put(now time.Time, a Announcement) (Verdict, *result.Error) {
--- a/internal/connection/announce/server.go
+++ b/internal/connection/announce/server.go
@@ -41,12 +41,12 @@
 	probeEnabled bool
 	// probing is set while dials are in progress.
 	probing atomic.Bool
-	// Intent refuses valid announcements that are not from a server intended for this instance;
+	// Admit refuses valid announcements that are not from a server intended for this instance;
 	// nil accepts all. It must not call methods of the Server.
-	Intent func(a *Announcement) *result.Error
-	// Met is called with the outcome of each announcement; nil disables it. It must be set
-	// before Run is called, and must not call methods of the Server.
-	Met func(a *Announcement, v Verdict, refused *result.Error)
+	Admit func(a *Announcement) *result.Error
+	// OnAnnouncement is called with the outcome of each announcement; nil disables it. It must
+	// be set before Run is called, and must not call methods of the Server.
+	OnAnnouncement func(a *Announcement, v Verdict, refused *result.Error)
 }
 
 // NewServer returns a server that calls onChange with each new set of servers. With probe, it
@@ -55,8 +55,9 @@
 	return &Server{registry: NewRegistry(), probeEnabled: probe, onChange: onChange}
 }
 
-// TellCold publishes which servers are slow after their start. It must be called before Run.
-func (s *Server) TellCold() { s.registry.advertiseCold = true }
+// AdvertiseColdStart publishes which servers are slow after their start. It must be called
+// before Run.
+func (s *Server) AdvertiseColdStart() { s.registry.advertiseCold = true }
 
 // Announce processes an announcement and returns the reason if it is refused.
 func (s *Server) Announce(a Announcement) *result.Error {
@@ -67,7 +68,7 @@
 		refused = err
 		s.notifyAnnouncement(&a, verdict, err)
 		changed := verdict == Changed
-		if err == nil && !verdict.PassedOver() && !s.probeEnabled {
+		if err == nil && !verdict.Ignored() && !s.probeEnabled {
 			// An announcement shows that the server is running: without probes, only
 			// failed requests count as dial failures.
 			changed = s.registry.RecordDial(now, a.Address, true) || changed
@@ -78,8 +79,8 @@
 }
 
 func (s *Server) put(now time.Time, a *Announcement) (Verdict, *result.Error) {
-	if s.Intent != nil {
-		if refused := s.Intent(a); refused != nil {
+	if s.Admit != nil {
+		if refused := s.Admit(a); refused != nil {
 			return 0, refused
 		}
 	}
@@ -87,8 +88,8 @@
 }
 
 func (s *Server) notifyAnnouncement(a *Announcement, v Verdict, refused *result.Error) {
-	if s.Met != nil {
-		s.Met(a, v, refused)
+	if s.OnAnnouncement != nil {
+		s.OnAnnouncement(a, v, refused)
 	}
 }
 
@@ -97,14 +98,14 @@
 	s.update(func() bool { return s.registry.End(boot, started) })
 }
 
-// Refused records that a connection to the server was refused.
-func (s *Server) Refused(address string) {
+// RecordDialFailure records that a connection to the server was refused.
+func (s *Server) RecordDialFailure(address string) {
 	s.update(func() bool { return s.registry.RecordDial(time.Now(), address, false) })
 }
 
-// Misdirected records that a boot other than the given one responded at the address of a
-// server.
-func (s *Server) Misdirected(address, boot string) {
+// RecordMisdirected records that a boot other than the given one responded at the address of
+// a server.
+func (s *Server) RecordMisdirected(address, boot string) {
 	s.update(func() bool { return s.registry.RecordMisdirected(time.Now(), address, boot) })
 }
 
--- a/internal/process/daemon/announcements.go
+++ b/internal/process/daemon/announcements.go
@@ -51,7 +51,7 @@
 // address of a local backend server.
 func (d *Daemon) handleBootMismatch(addr, boot string) {
 	d.log.Info(logBootMismatch, "server", addr, "boot", boot)
-	d.servers.Misdirected(addr, boot)
+	d.servers.RecordMisdirected(addr, boot)
 }
 
 // observeAnnouncement counts an announcement by its verdict and logs it if it was refused or
@@ -65,7 +65,7 @@
 	switch {
 	case refused != nil:
 		d.log.Info(logAnnouncementRefused, append(values, "result", refused.Code.String(), "detail", refused.Detail)...)
-	case v.PassedOver():
+	case v.Ignored():
 		d.log.Info(logAnnouncementIgnored, append(values, "why", v.String())...)
 	}
 }
--- a/internal/process/daemon/daemon.go
+++ b/internal/process/daemon/daemon.go
@@ -215,7 +215,7 @@
 		Self: d.settings.Node, Domain: d.settings.Domain, Region: d.settings.Region, QueuePerSlot: d.settings.Limits.QueuePerSlot,
 		Directory: d.mesh.Directory, Ready: d.Ready, Observer: d.metrics, Tracer: d.tracer(),
 		CloseAbandoned: !d.settings.Servers.Linger, FixedSlots: !d.settings.Servers.Adapt, MaxBufferedResponse: d.settings.Servers.HoldBytes, Origin: d.origin, Retry: d.retryLimits,
-		OnConnectionRefused: func(addr string) { d.servers.Refused(addr) },
+		OnConnectionRefused: func(addr string) { d.servers.RecordDialFailure(addr) },
 		OnMisdirected:       d.handleBootMismatch,
 		Rollout:             d.rolloutConfig(),
 		LinkBytes:           float64(d.settings.Limits.LinkBytes),
@@ -232,9 +232,9 @@
 	}
 	d.gateway = gateway.New(cfg, d.log.WithName("gateway"))
 	d.servers = announce.NewServer(d.settings.Servers.Dial, d.setServers)
-	d.servers.Intent, d.servers.Met = d.checkAnnouncement, d.observeAnnouncement
+	d.servers.Admit, d.servers.OnAnnouncement = d.checkAnnouncement, d.observeAnnouncement
 	if d.settings.Servers.Rollouts {
-		d.servers.TellCold()
+		d.servers.AdvertiseColdStart()
 	}
 	if !d.settings.IsSource() {
 		return nil
