--- a/internal/connection/announce/lease.go
+++ b/internal/connection/announce/lease.go
@@ -35,7 +35,7 @@
 // acceptsRequests reports whether the server announced that it accepts requests and can be
 // reached.
 func (l *lease) acceptsRequests() bool {
-	return l.announced.State.TakesWork() && l.dialFailures < maxDialFailures
+	return l.announced.State.AcceptsRequests() && l.dialFailures < maxDialFailures
 }
 
 // matches reports whether the announcement was sent by the same boot.
@@ -80,7 +80,7 @@
 func (l *lease) advertised() presence.Server {
 	s := l.announced
 	s.Cold = l.cold
-	if s.State.TakesWork() && !l.acceptsRequests() {
+	if s.State.AcceptsRequests() && !l.acceptsRequests() {
 		s.State = presence.Joining
 	}
 	if !l.acceptingSince.IsZero() {
--- a/internal/connection/announce/place.go
+++ b/internal/connection/announce/place.go
@@ -43,7 +43,7 @@
 	case e.active.startedAfter(a):
 		return false
 	}
-	return state.TakesWork() || !e.active.acceptsRequests()
+	return state.AcceptsRequests() || !e.active.acceptsRequests()
 }
 
 // activate makes l the active lease and keeps the previous one on standby.
--- a/internal/process/daemon/rollout_driver.go
+++ b/internal/process/daemon/rollout_driver.go
@@ -132,7 +132,7 @@
 // countServer adds a server that accepts requests to the side of its software version.
 func countServer(all map[snapshot.ServiceKey]map[string]rollout.VersionCapacity, s *presence.Server, leaving bool) {
 	sides, wanted := all[snapshot.ServiceKey{Mesh: s.Mesh, Name: s.Service}]
-	if !wanted || leaving || !s.State.TakesWork() {
+	if !wanted || leaving || !s.State.AcceptsRequests() {
 		return
 	}
 	side := sides[s.Version]
--- a/internal/process/membership/golden_test.go
+++ b/internal/process/membership/golden_test.go
@@ -173,7 +173,7 @@
 			b.WriteString(" leaving")
 		}
 		for _, server := range r.Servers {
-			fmt.Fprintf(&b, " server-takes-work=%t", server.State.TakesWork())
+			fmt.Fprintf(&b, " server-takes-work=%t", server.State.AcceptsRequests())
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/process/membership/scale_test.go
+++ b/internal/process/membership/scale_test.go
@@ -114,7 +114,7 @@
 			draining := slices.Clone(serving)
 			draining[0].State = presence.Draining
 			s.execute(n, n.core.SetServers(draining))
-			drain := s.until(drainLimit, 10*time.Millisecond, s.noRecord(n.node.Name, func(r presence.Record) bool { return r.Servers[0].State.TakesWork() }))
+			drain := s.until(drainLimit, 10*time.Millisecond, s.noRecord(n.node.Name, func(r presence.Record) bool { return r.Servers[0].State.AcceptsRequests() }))
 			s.run(3 * time.Second)
 			n.up = false
 			death := s.until(deathLimit, 50*time.Millisecond, s.noRecord(n.node.Name, func(presence.Record) bool { return true }))
--- a/internal/process/presence/record.go
+++ b/internal/process/presence/record.go
@@ -34,8 +34,8 @@
 	return "unknown"
 }
 
-// TakesWork reports whether a server in this state receives new requests.
-func (s ServerState) TakesWork() bool { return s == Warming || s == Serving }
+// AcceptsRequests reports whether a server in this state receives new requests.
+func (s ServerState) AcceptsRequests() bool { return s == Warming || s == Serving }
 
 // Server is a backend server on the instance of the owner of the record.
 type Server struct {
--- a/internal/process/presence/updates.go
+++ b/internal/process/presence/updates.go
@@ -48,11 +48,11 @@
 // withdrawsServer reports whether a server that took work no longer does.
 func withdrawsServer(before, after *Record) bool {
 	for _, old := range before.Servers {
-		if !old.State.TakesWork() || before.Leaving {
+		if !old.State.AcceptsRequests() || before.Leaving {
 			continue
 		}
-		stillTakesWork := func(s Server) bool { return s.Addr == old.Addr && s.State.TakesWork() }
-		if after.Leaving || !slices.ContainsFunc(after.Servers, stillTakesWork) {
+		stillAcceptsRequests := func(s Server) bool { return s.Addr == old.Addr && s.State.AcceptsRequests() }
+		if after.Leaving || !slices.ContainsFunc(after.Servers, stillAcceptsRequests) {
 			return true
 		}
 	}
--- a/internal/version/directory/builder.go
+++ b/internal/version/directory/builder.go
@@ -89,7 +89,7 @@
 	for i := range r.Servers {
 		server := &r.Servers[i]
 		key := snapshot.ServiceKey{Mesh: server.Mesh, Name: server.Service}
-		if server.State.TakesWork() && b.allows(key, server) {
+		if server.State.AcceptsRequests() && b.allows(key, server) {
 			f(key, server)
 		}
 	}
