--- a/internal/process/daemon/fulllink_test.go
+++ b/internal/process/daemon/fulllink_test.go
@@ -125,7 +125,7 @@
 		c.Assert(err, qt.IsNil)
 		m.Version = version
 		eventually(c, "accepted", func() bool {
-			reply, err := a.Order(context.Background(), &source.Order{Manifest: *m})
+			reply, err := a.ReplaceConfiguration(context.Background(), &source.Order{Manifest: *m})
 			return err == nil && (reply.Code == result.Accepted || reply.Code == result.AlreadyAccepted)
 		})
 	}
--- a/internal/process/daemon/order_test.go
+++ b/internal/process/daemon/order_test.go
@@ -73,7 +73,7 @@
 	}
 	accept := func(version, base uint64, at *testDaemon) {
 		eventually(c, "accepted", func() bool {
-			answer, err := at.Order(context.Background(), newOrder(c, version, base))
+			answer, err := at.ReplaceConfiguration(context.Background(), newOrder(c, version, base))
 			return err == nil && (answer.Code == result.Accepted || answer.Code == result.AlreadyAccepted)
 		})
 	}
@@ -108,10 +108,10 @@
 	b := startDaemon(c, "b", a, nil)
 	var first source.Answer
 	eventually(c, "the first is accepted", func() bool {
-		first, _ = b.Order(context.Background(), newOrder(c, 3, 0))
+		first, _ = b.ReplaceConfiguration(context.Background(), newOrder(c, 3, 0))
 		return first.Code == result.Accepted || first.Code == result.AlreadyAccepted
 	})
-	second, err := b.Order(context.Background(), newOrder(c, 5, 0))
+	second, err := b.ReplaceConfiguration(context.Background(), newOrder(c, 5, 0))
 	c.Assert(err, qt.IsNil)
 	c.Check(second.Code, qt.Equals, result.BaseMoved, qt.Commentf("%s", second.Detail))
 }
@@ -122,7 +122,7 @@
 	orders := make(chan source.Order, 1)
 	d := newClient(c, logr.Discard(), []*fakeSource{{answer: source.Answer{Code: result.Accepted}, orders: orders}})
 	for _, base := range []uint64{0, 7} {
-		_, err := d.Order(context.Background(), newOrder(c, 8, base))
+		_, err := d.ReplaceConfiguration(context.Background(), newOrder(c, 8, base))
 		c.Assert(err, qt.IsNil)
 		c.Check((<-orders).Base, qt.Equals, source.BaseVersion(base))
 	}
--- a/internal/process/daemon/platform.go
+++ b/internal/process/daemon/platform.go
@@ -43,8 +43,8 @@
 
 // Control contains the operations for the operators and backend servers of a platform.
 type Control interface {
-	// Order submits a manifest.
-	Order(ctx context.Context, o *source.Order) (source.Answer, error)
+	// ReplaceConfiguration submits a manifest.
+	ReplaceConfiguration(ctx context.Context, o *source.Order) (source.Answer, error)
 	// Newest returns the newest manifest of a mesh.
 	Newest(ctx context.Context, mesh string) (source.Answer, error)
 	// OrderRollout submits an order for a rollout.
--- a/internal/process/daemon/submit.go
+++ b/internal/process/daemon/submit.go
@@ -84,12 +84,12 @@
 
 // Submit implements operator.Backend.
 func (d *Daemon) Submit(ctx context.Context, m *manifest.Manifest) (source.Answer, error) {
-	return d.Order(ctx, &source.Order{Manifest: *m})
+	return d.ReplaceConfiguration(ctx, &source.Order{Manifest: *m})
 }
 
-// Order submits a manifest to this daemon if it is a source, then to the other sources one
-// after another until one settles it.
-func (d *Daemon) Order(ctx context.Context, o *source.Order) (source.Answer, error) {
+// ReplaceConfiguration submits a manifest to this daemon if it is a source, then to the other
+// sources one after another until one settles it.
+func (d *Daemon) ReplaceConfiguration(ctx context.Context, o *source.Order) (source.Answer, error) {
 	start := time.Now()
 	s := d.askSources(ctx, sourceSubmit, *o, func(ctx context.Context) (source.Answer, error) { return d.source.Submit(ctx, o) })
 	d.metrics.CountOrder(s.answer.Code)
--- a/internal/process/daemon/submit_test.go
+++ b/internal/process/daemon/submit_test.go
@@ -167,7 +167,7 @@
 	c := qt.New(t)
 	var lines []string
 	d := newClient(c, operatorLines(&lines), []*fakeSource{{answer: source.Answer{Code: result.Accepted, Fleet: 31}}})
-	_, err := d.Order(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}, Base: source.BaseVersion(97)})
+	_, err := d.ReplaceConfiguration(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}, Base: source.BaseVersion(97)})
 	c.Assert(err, qt.IsNil)
 	c.Assert(lines, qt.HasLen, 1)
 	c.Check(lines[0], qt.Contains, `"msg"="order answered" "node"="n1" "mesh"="m" "version"=99 "base"="97" "result"="100 Accepted" "fleet"=31`)
@@ -175,7 +175,7 @@
 	// If a source may have accepted the order, the answer of the next source is not the outcome.
 	lines = nil
 	d = newClient(c, operatorLines(&lines), []*fakeSource{{dropConn: true}, {answer: source.Answer{Code: result.NoQuorum}}})
-	_, err = d.Order(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}})
+	_, err = d.ReplaceConfiguration(context.Background(), &source.Order{Manifest: manifest.Manifest{Mesh: "m", Version: 99}})
 	c.Assert(err, qt.IsNil)
 	c.Assert(lines, qt.HasLen, 1)
 	c.Check(lines[0], qt.Contains, `"base"="any" "result"="121 CommitUnknown"`)
