--- a/docs/operations_test.go
+++ b/docs/operations_test.go
@@ -22,7 +22,8 @@
 	"github.com/daisygate/daisygate/internal/process/dev"
 )
 
-// patience bounds every wait for something that must happen; it is no measure.
+// patience bounds every wait for something that must happen; it is not a requirement on
+// the duration.
 const patience = 60 * time.Second
 
 var (
--- a/internal/connection/gateway/hooks.go
+++ b/internal/connection/gateway/hooks.go
@@ -44,8 +44,8 @@
 	// Response is the stored response of the first run. It is sent unchanged.
 	Response *StoredResponse
 	// Refusal rejects the request; RetryAfter is when to retry. With
-	// result.ClaimsUnavailable nothing is known about earlier submissions, so the caller
-	// is told that the outcome is unknown.
+	// result.ClaimsUnavailable nothing is known about earlier submissions, so the response
+	// states that the outcome is unknown.
 	Refusal    *result.Error
 	RetryAfter time.Duration
 }
--- a/internal/connection/gateway/once.go
+++ b/internal/connection/gateway/once.go
@@ -176,8 +176,8 @@
 	return v
 }
 
-// Settle implements Claims. The result is recorded in the background; until then a resent
-// request is told that the first run is in progress.
+// Settle implements Claims. The result is recorded in the background; until then the response
+// to a resent request is that the first run is in progress.
 func (o *IdempotencyManager) Settle(r *Request, s Settlement) {
 	grantedCommand, granted := o.granted.LoadAndDelete(r)
 	if !granted {
--- a/internal/connection/gateway/start.go
+++ b/internal/connection/gateway/start.go
@@ -24,8 +24,8 @@
 	minStartupRetryAfter   = 100 * time.Millisecond
 	typicalStartupDuration = 600 * time.Millisecond
 	// callerTimeDivisor determines the part of the caller's remaining time (one in
-	// callerTimeDivisor) that it may wait or be told to stay away; the rest is for the
-	// response.
+	// callerTimeDivisor) that it may wait or be asked to wait by Retry-After; the rest is
+	// for the response.
 	callerTimeDivisor = 3
 )
 
--- a/internal/process/source/history_test.go
+++ b/internal/process/source/history_test.go
@@ -45,7 +45,7 @@
 
 // TestAnswerTravelsWhole checks that no field of an answer is lost in transit from the
 // leader to the source that received the request. Reads through a follower once returned
-// no text, and the operator was told that there was no configuration.
+// no text, and the operator received the response that there was no configuration.
 func TestAnswerTravelsWhole(t *testing.T) {
 	c := qt.New(t)
 	entry := HistoryEntry{Fleet: 3, Mesh: "m", Version: 7, Content: 9, Time: time.Unix(5, 0).UTC()}
--- a/internal/request/canary/trial.go
+++ b/internal/request/canary/trial.go
@@ -135,8 +135,8 @@
 	return bucket, over / t.answers, true
 }
 
-// hypotheses returns the shares of bad answers of a version that is as good as the base
-// version and of one that is worse.
+// hypotheses returns the shares of bad answers under the two hypotheses: that the version
+// is as good as the base version, and that it is worse.
 func hypotheses(baseShare, toleratedExtra, badExtra float64) (good, bad float64) {
 	good = math.Min(toleratedRatio*baseShare+toleratedExtra, maxShare/badRatio)
 	return good, math.Min(badRatio*good+badExtra, maxShare)
--- a/internal/request/flow/flow.go
+++ b/internal/request/flow/flow.go
@@ -77,7 +77,7 @@
 	Cancel bool
 }
 
-// Request holds the properties of a request that determine its course.
+// Request holds the properties of a request that determine how it is processed.
 type Request struct {
 	// Deadline is the latest time for the final answer.
 	Deadline time.Time
@@ -131,7 +131,7 @@
 	// bodyBegun is set once a part of the body was sent that cannot be sent again.
 	bodyBegun bool
 	// unknownOutcome is the code of an attempt that may have run; 0 if there is none.
-	// Once it is set, the caller is never told that the request was not run.
+	// Once it is set, no response states that the request was not run.
 	unknownOutcome result.Code
 	// retryAfter is the shortest time that a refusing server named.
 	retryAfter time.Duration
@@ -259,8 +259,8 @@
 }
 
 // canRetry reports whether a further attempt is allowed: the last one must certainly
-// not have run, or the request must be repeatable. A body that was begun is never
-// sent a second time.
+// not have run, or the request must be repeatable. A body of which a part was sent is
+// never sent a second time.
 func (c *Call) canRetry(now time.Time, code result.Code) bool {
 	if c.bodyBegun || !now.Before(c.request.Deadline) {
 		return false
--- a/internal/request/flow/flow_test.go
+++ b/internal/request/flow/flow_test.go
@@ -40,7 +40,7 @@
 
 type caller struct {
 	request Request
-	// stream marks a body that cannot be sent again once begun.
+	// stream marks a body that cannot be sent again once a part of it was sent.
 	stream bool
 	call   *Call
 	// lastAttempt is the attempt in progress.
--- a/internal/request/quarantine/core.go
+++ b/internal/request/quarantine/core.go
@@ -127,7 +127,7 @@
 // hasRestarted reports whether a server that accepts connections has crashed and
 // restarted: several runs lost their connections at about the same time, and no run
 // in progress at that time continues. One lost connection among others that stay open
-// is no crash.
+// is not a crash.
 func (c *Core) hasRestarted(addr string) bool {
 	var first time.Time
 	lost := 0
