--- a/internal/connection/gateway/quarantine.go
+++ b/internal/connection/gateway/quarantine.go
@@ -213,7 +213,7 @@
 	runID uint64
 }
 
-var quarantineFates = map[RunStatus]quarantine.Outcome{
+var quarantineOutcomes = map[RunStatus]quarantine.Outcome{
 	Finished: quarantine.Completed, Cancelled: quarantine.Aborted, Unsent: quarantine.Aborted, Crashed: quarantine.ConnectionLost,
 }
 
@@ -225,7 +225,7 @@
 		s.recordConnectionLoss()
 		listening = stillListening(s.addr)
 	}
-	crashed, changed := s.recordEnd(quarantineFates[status], listening)
+	crashed, changed := s.recordEnd(quarantineOutcomes[status], listening)
 	if crashed && changed {
 		s.logCrash()
 	}
@@ -235,10 +235,10 @@
 	return crashed
 }
 
-func (s *suspectRun) recordEnd(fate quarantine.Outcome, listening bool) (crashed, changed bool) {
+func (s *suspectRun) recordEnd(outcome quarantine.Outcome, listening bool) (crashed, changed bool) {
 	s.q.mu.Lock()
 	defer s.q.mu.Unlock()
-	crashed, changed = s.q.core.End(time.Now(), s.addr, s.runID, fate, listening)
+	crashed, changed = s.q.core.End(time.Now(), s.addr, s.runID, outcome, listening)
 	if changed {
 		s.q.publish()
 	}
--- a/internal/connection/gateway/service.go
+++ b/internal/connection/gateway/service.go
@@ -35,8 +35,8 @@
 	if s = g.services[key]; s == nil {
 		s = &service{core: flow.NewService(g.location(), g)}
 		s.core.Table.LinkBytes = g.cfg.LinkBytes
-		s.core.Table.Ejected = func(c *directory.Candidate, end balance.Outcome, d time.Duration) {
-			g.log.Info("backend server ejected", "service", key.String(), "server", c.Server.Addr, "to", c.Node.Name, "why", end.String(), "for", d.String())
+		s.core.Table.Ejected = func(c *directory.Candidate, outcome balance.Outcome, d time.Duration) {
+			g.log.Info("backend server ejected", "service", key.String(), "server", c.Server.Addr, "to", c.Node.Name, "why", outcome.String(), "for", d.String())
 		}
 		g.services[key] = s
 	}
--- a/internal/request/balance/balance.go
+++ b/internal/request/balance/balance.go
@@ -119,7 +119,7 @@
 	// unknown.
 	LinkBytes float64
 	// Ejected, if not nil, is called for each ejection with its cause and duration.
-	Ejected func(c *directory.Candidate, end Outcome, d time.Duration)
+	Ejected func(c *directory.Candidate, outcome Outcome, d time.Duration)
 }
 
 // NewTable returns an empty table.
--- a/internal/request/balance/server.go
+++ b/internal/request/balance/server.go
@@ -133,14 +133,14 @@
 }
 
 // Ended records the end of an attempt at c.
-func (t *Table) Ended(now time.Time, c *directory.Candidate, end Outcome) {
+func (t *Table) Ended(now time.Time, c *directory.Candidate, outcome Outcome) {
 	s := t.servers[c.Server.Addr]
 	if s == nil {
 		return
 	}
 	s.outstanding = max(0, s.outstanding-1)
 	s.sentSinceLoad--
-	switch end {
+	switch outcome {
 	case Answered:
 		s.failures, s.ejections = 0, 0
 	case Full:
@@ -148,22 +148,22 @@
 	case Failed:
 		s.failures++
 		if s.failures >= failuresToEject && t.ejectedCount(now) < len(t.candidates)/2 {
-			t.eject(now, c, end)
+			t.eject(now, c, outcome)
 		}
 	case Unreachable:
-		t.eject(now, c, end)
+		t.eject(now, c, outcome)
 	}
 }
 
 // eject excludes a server for a while and reports it to t.Ejected.
-func (t *Table) eject(now time.Time, c *directory.Candidate, end Outcome) {
+func (t *Table) eject(now time.Time, c *directory.Candidate, outcome Outcome) {
 	s := t.servers[c.Server.Addr]
 	if s.ejected(now) {
 		return
 	}
 	d := s.eject(now)
 	if t.Ejected != nil {
-		t.Ejected(c, end, d)
+		t.Ejected(c, outcome, d)
 	}
 }
 
--- a/internal/request/flow/flow.go
+++ b/internal/request/flow/flow.go
@@ -230,7 +230,7 @@
 	if c.phase != attempting {
 		return Action{}
 	}
-	c.service.Table.Ended(now, c.current, endFor(code))
+	c.service.Table.Ended(now, c.current, outcomeFor(code))
 	if retryAfter > 0 && (c.retryAfter == 0 || retryAfter < c.retryAfter) {
 		c.retryAfter = retryAfter
 	}
@@ -246,7 +246,7 @@
 	return c.try(now, seed, code)
 }
 
-func endFor(code result.Code) balance.Outcome {
+func outcomeFor(code result.Code) balance.Outcome {
 	switch code {
 	case result.Overloaded, result.DeadlineTooShort, result.ServerRefused:
 		return balance.Full
@@ -274,11 +274,11 @@
 		// The budget was already charged for this repeat, and it has reached no server yet.
 		c.redirects++
 		return c.redirects <= maxRedirects
-	case endFor(code) == balance.Neutral:
+	case outcomeFor(code) == balance.Neutral:
 		return false
 	case code.Outcome() != result.NotRun && !c.request.Repeatable:
 		return false
-	case endFor(code) == balance.Unreachable, !c.reachedServer:
+	case outcomeFor(code) == balance.Unreachable, !c.reachedServer:
 		// No server has received the request yet. Another one may have room: in a large
 		// fleet, the data on the other servers is out of date.
 		c.redirects++
--- a/internal/request/quarantine/core.go
+++ b/internal/request/quarantine/core.go
@@ -103,17 +103,17 @@
 // End records the end of a run. For a ConnectionLost run, listening tells whether the server
 // still accepts connections. End reports whether the server crashed, and whether the
 // reports have changed.
-func (c *Core) End(now time.Time, addr string, id uint64, fate Outcome, listening bool) (crashed, changed bool) {
+func (c *Core) End(now time.Time, addr string, id uint64, outcome Outcome, listening bool) (crashed, changed bool) {
 	r := c.servers[addr][id]
 	if r == nil {
 		return false, false
 	}
 	switch {
-	case fate == Completed && (r.alone || r.reported):
+	case outcome == Completed && (r.alone || r.reported):
 		changed = c.ledger.clear(now, r.identity.Fingerprint())
-	case fate == ConnectionLost && r.reported:
+	case outcome == ConnectionLost && r.reported:
 		crashed = true
-	case fate == ConnectionLost && (!listening || !c.ledger.cfg.SlowRestart && c.hasRestarted(addr)):
+	case outcome == ConnectionLost && (!listening || !c.ledger.cfg.SlowRestart && c.hasRestarted(addr)):
 		crashed, changed = true, true
 		c.reportCrash(now, addr)
 	}
--- a/internal/request/quarantine/core_test.go
+++ b/internal/request/quarantine/core_test.go
@@ -90,8 +90,8 @@
 
 func (f *fleet) runEvent(daemon, event, request string) string {
 	core, run := f.cores[daemon], daemon+request
-	end := func(fate quarantine.Outcome, listening bool) string {
-		crashed, changed := core.End(f.now, daemon, f.runIDs[run], fate, listening)
+	end := func(outcome quarantine.Outcome, listening bool) string {
+		crashed, changed := core.End(f.now, daemon, f.runIDs[run], outcome, listening)
 		return fmt.Sprintf("crashed %t, changed %t", crashed, changed)
 	}
 	switch event {
