--- a/internal/process/rollout/core.go
+++ b/internal/process/rollout/core.go
@@ -279,7 +279,7 @@
 	}
 	return []source.RolloutStep{{
 		ServiceName: s.ServiceName, Version: version,
-		Why: fmt.Sprintf("%d backend servers of the service announce this version, and no version was in use before", most),
+		Why: fmt.Sprintf("%d servers of the service announce it, and no other version was in use", most),
 	}}
 }
 
--- a/internal/process/rollout/decide.go
+++ b/internal/process/rollout/decide.go
@@ -29,7 +29,7 @@
 		return r.decideProof(now, f)
 	case fleet.Handover:
 		if r.handoverComplete(now, f) {
-			return source.RolloutStep{Stage: fleet.Completed, Why: "all requests go to the target version, and none is running on the previous version"}, true
+			return source.RolloutStep{Stage: fleet.Completed, Why: "every request goes to the version, and nothing runs at the one before it"}, true
 		}
 		r.waitingFor = "not every daemon has confirmed that nothing runs at the version before"
 	}
@@ -91,7 +91,7 @@
 		if servers == r.rollout.Servers {
 			return source.RolloutStep{}, false
 		}
-		return source.RolloutStep{Stage: fleet.Canary, Servers: servers, Why: "number of canary servers adjusted to the canary share of the requests"}, true
+		return source.RolloutStep{Stage: fleet.Canary, Servers: servers, Why: "as many servers as bear the part of the requests that is tried"}, true
 	}
 	answers := tally.Target().Answers
 	switch {
@@ -102,7 +102,7 @@
 	case float64(target.WarmSlots) < r.slotsInUse:
 		r.waitingFor = fmt.Sprintf("its servers have %d slots, the work takes %.0f", target.WarmSlots, r.slotsInUse)
 	default:
-		return source.RolloutStep{Stage: fleet.Proof, Servers: target.warmServers(), Why: fmt.Sprintf("%d answers of the target version are as good as those of the previous version", answers)}, true
+		return source.RolloutStep{Stage: fleet.Proof, Servers: target.warmServers(), Why: fmt.Sprintf("%d answers of the version are as good as those of the one before", answers)}, true
 	}
 	return source.RolloutStep{}, false
 }
@@ -145,7 +145,7 @@
 	case now.Sub(r.stageEnteredAt) < minProofTime:
 		return source.RolloutStep{}, false
 	}
-	return source.RolloutStep{Stage: fleet.Handover, Why: "the target servers handled all requests that the budget allows"}, true
+	return source.RolloutStep{Stage: fleet.Handover, Why: "its servers bore what the budget allows"}, true
 }
 
 // stageConfirmed reports whether every reachable daemon has the current stage in force.
