--- a/internal/request/canary/account.go
+++ b/internal/request/canary/account.go
@@ -35,12 +35,12 @@
 // Credit returns what a daemon may send before any of its requests has reached a server: its
 // part of the slack, by its position among all daemons. Without it there would be no samples
 // if there are few requests or many daemons.
-func (b Budget) Credit(place, daemons int) int {
-	given := int(creditPart * float64(b.Slack))
-	if daemons <= 0 || place >= given {
+func (b Budget) Credit(position, daemons int) int {
+	granted := int(creditPart * float64(b.Slack))
+	if daemons <= 0 || position >= granted {
 		return 0
 	}
-	return max(1, given/daemons)
+	return max(1, granted/daemons)
 }
 
 // Account is one daemon's accounting of one roll-out. It is not safe for concurrent use.
--- a/internal/request/canary/counts.go
+++ b/internal/request/canary/counts.go
@@ -1,8 +1,8 @@
 // Package canary selects, at one daemon, the software version of a service that a request
-// goes to during a roll-out, and judges from the answers of both versions whether the new
-// one is worse.
+// goes to during a roll-out: the target version or the base version that it replaces. It
+// judges from the answers of both whether the target version is worse.
 //
-// The exposure of the new version is limited by a budget that each daemon accounts for on
+// The exposure of the target version is limited by a budget that each daemon accounts for on
 // its own: a share of the requests that it has brought to a server. The shares of all
 // daemons add up to that of the fleet, so the limit holds without coordination, no matter
 // how late the daemons learn of each other.
@@ -21,7 +21,7 @@
 	bucketsPerOctave = 4
 )
 
-// Counts are the answers of one software version on one route since the start of the roll-out.
+// Counts are the answers of one software version on one route since the roll-out was ordered.
 type Counts struct {
 	// Answers counts all answers; Failed counts those that failed.
 	Answers, Failed uint64
@@ -85,7 +85,7 @@
 	Answers, Failed, Slow uint64
 }
 
-// Tally holds the counts of one daemon, or of all daemons, since the start of a roll-out.
+// Tally holds the counts of one daemon, or of all daemons, since a roll-out was ordered.
 type Tally struct {
 	// Routes is keyed by name, Servers (of the target version) by address.
 	Routes  map[string]*Pair
